--- a/src/instance/bundles/bundle_peers.ts
+++ b/src/instance/bundles/bundle_peers.ts
@@ -1,35 +1,38 @@
-/** What instances tell each other of bundles. */
+/** Messages between instances about bundles. */
 import * as z from 'zod';
 import {buildPeerRouterOf, peerProcedure} from '../peers/peer_procedures.js';
 
 const orphanSchema = z.strictObject({id: z.string(), epoch: z.number()});
 
-/** Bundles in one message, at the most. */
-export const MAX_ORPHANS_TOLD = 100;
+/** Maximum number of bundles in one message. */
+export const MAX_ORPHANS_PER_MESSAGE = 100;
 
 const adoptSchema = z.strictObject({
-  orphans: z.array(orphanSchema).max(MAX_ORPHANS_TOLD),
+  orphans: z.array(orphanSchema).max(MAX_ORPHANS_PER_MESSAGE),
 });
 const endedSchema = z.strictObject({id: z.string()});
 
 /** A bundle whose owner is gone, and the epoch of that ownership. */
 export type OrphanNotice = z.infer<typeof orphanSchema>;
 
-/** How other instances are told; lost words are made up for by later looks. */
+/**
+ * Notifies other instances. A lost message does no lasting harm, because
+ * instances check the store periodically.
+ */
 export interface BundlePeers {
-  /** Takes these bundles over. */
+  /** Tells an instance to take these bundles over. */
   sendOrphans(address: string, orphans: readonly OrphanNotice[]): void;
-  /** The account has ended a bundle that the instance works on. */
+  /** Tells an instance that the account has ended a bundle that it owns. */
   sendEnded(address: string, id: string): void;
 }
 
-/** What an instance does when it is told. */
+/** Handles the notifications of other instances. */
 export interface BundleNotices {
   adopt(orphans: readonly OrphanNotice[]): void;
   stop(id: string): void;
 }
 
-/** Procedures that other instances call on this one's bundles. */
+/** Builds the procedures that other instances call. */
 export function buildBundlesRouter({adopt, stop}: BundleNotices) {
   return buildPeerRouterOf({
     adopt: peerProcedure
--- a/src/instance/bundles/bundle_rows.ts
+++ b/src/instance/bundles/bundle_rows.ts
@@ -1,4 +1,4 @@
-/** Rows and objects that a bundle is kept in: their names and formats. */
+/** Names and formats of the rows and objects in which bundles are stored. */
 import murmurhash from 'murmurhash';
 import {buildPartition} from '../../stores/collections.js';
 import type {Row, RowKey, WriteOperation} from '../../stores/table_store.js';
@@ -10,19 +10,21 @@
 } from './bundle_types.js';
 import {BUNDLE_SHARDS, MAX_TEXT_IN_ROW} from './constants.js';
 
-/** Collection of the rows of open bundles, which a few instances follow. */
+/**
+ * Collection of the owner rows of open bundles, which a few instances watch.
+ */
 export const OPEN_BUNDLES = 'open-bundles';
 
 /** Collection of the rows of all bundles. */
 export const BUNDLES = 'bundles';
 
-/** Collection of what each account has waiting on a route, one row for both. */
+/** Collection of waiting tokens, one row for each account and route. */
 export const WAITING_TOKENS = 'waiting-tokens';
 
-/** Collection of listed results, one row each. */
+/** Collection of listed results, one row for each result. */
 export const RESULTS = 'bundle-results';
 
-/** Collection of items that are kept in rows. */
+/** Collection of items that are stored in rows. */
 export const ITEMS = 'bundle-items';
 
 const OBJECT_PREFIX = 'bundles';
@@ -40,17 +42,17 @@
   return String(murmurhash.v3(id) % BUNDLE_SHARDS);
 }
 
-/** Name of the object that holds a bundle's items. */
+/** Name of the object that contains a bundle's items. */
 export function buildItemsName(id: string, digest: string): string {
   return `${OBJECT_PREFIX}.${id}.items.${digest.slice(0, 16)}`;
 }
 
-/** Name of the object that holds a text too long for a row. */
+/** Name of the object that contains a text too long for a row. */
 export function buildTextName(id: string, itemId: string): string {
   return `${OBJECT_PREFIX}.${id}.text.${itemId}`;
 }
 
-/** Name of the object that holds what was done of items not listed yet. */
+/** Name of the object that contains the progress of items not listed yet. */
 export function buildProgressName(id: string): string {
   return `${OBJECT_PREFIX}.${id}.progress`;
 }
@@ -60,12 +62,12 @@
   return {partition: buildPartition(collection, chooseShard(id)), sort: id};
 }
 
-/** Key of the row of an account's bundles on a route. */
+/** Key of the row for an account's waiting bundles on a route. */
 export function buildWaitingKey(account: string, route: string): RowKey {
   return buildKey(WAITING_TOKENS, `${account}/${route}`);
 }
 
-/** Key of a listed result; keys sort by position. */
+/** Key of a listed result. Keys sort by position. */
 export function buildResultKey(id: string, position: number): RowKey {
   return buildNumberedKey(RESULTS, id, position);
 }
@@ -82,7 +84,7 @@
   };
 }
 
-/** The items' text in rows; a row takes MAX_TEXT_IN_ROW of it. */
+/** Splits the items' JSON into rows of at most MAX_TEXT_IN_ROW characters. */
 export function buildItemPuts(id: string, text: string): WriteOperation[] {
   const puts: WriteOperation[] = [];
   for (let at = 0; at < text.length; at += MAX_TEXT_IN_ROW) {
@@ -96,13 +98,13 @@
   return puts;
 }
 
-/** A bundle's row as it was written. */
+/** Decodes a bundle's row; throws when the fields do not fit the schema. */
 export function decodeBundleRow(row: Row): StoredBundle {
   const fields = bundleFieldsSchema.parse(row.fields);
   return {id: row.key.sort, version: row.version, fields};
 }
 
-/** Who works on an open bundle; undefined for a row no instance wrote. */
+/** Decodes an owner row; undefined when the fields do not fit the schema. */
 export function decodeOwnerRow(row: Row): OwnerFields | undefined {
   return ownerFieldsSchema.safeParse(row.fields).data;
 }
--- a/src/instance/bundles/bundle_run.ts
+++ b/src/instance/bundles/bundle_run.ts
@@ -1,7 +1,7 @@
 /**
- * One bundle that this instance works on: which of its items wait, run, have
- * ended or are listed. Results are listed in groups, each by one transaction
- * that only the present owner can commit.
+ * Runs one bundle that this instance owns, and tracks which of its items are
+ * waiting, running, ended or listed. Results are listed in groups. Each group
+ * is one transaction that only the current owner can commit.
  */
 import type {Clock} from '../../common/clock.js';
 import type {Log} from '../../common/log.js';
@@ -22,7 +22,7 @@
   CONFIRM_INTERVAL_MS,
   ITEM_RETRY_MAX_MS,
   ITEM_RETRY_MS,
-  TIME_ERROR_MS,
+  MAX_TIME_ERROR_MS,
 } from './constants.js';
 import {encodeProgress, type BundleProgress} from './item_progress.js';
 import type {ItemOutcome, ItemTask} from './item_runner.js';
@@ -35,49 +35,50 @@
 } from './item_states.js';
 import {createItemText} from './item_text.js';
 
-/** An item that may be run now. */
+/** An item that was taken to be run now. */
 export interface RunnableItem {
   task: ItemTask;
   signal: AbortSignal;
-  /** Takes in how the try ended. */
+  /** Handles the outcome of the attempt. */
   finish(outcome: ItemOutcome): void;
 }
 
-/** Work on one bundle. */
+/** One bundle that this instance owns. */
 export interface BundleRun {
   id: string;
-  /** Of the ownership it commits under. */
+  /** Epoch of the ownership under which results are committed. */
   epoch: number;
-  /** Monotonic time by which its results are due. */
+  /** Monotonic time by which the results are due. */
   dueAt: number;
   countOpen(): number;
-  /** The next item that may run; it counts as running from now on. */
+  /** Takes the next item that may run and marks it as running. */
   takeItem(now: number): RunnableItem | undefined;
-  /** Looks whether the bundle is still open and this instance's. */
+  /** Checks in the store that the bundle is open and owned by this instance. */
   confirm(now: number): Promise<void>;
-  /** Gives up items past their time or whose route is gone. */
+  /** Gives up the waiting items of a bundle that is past its lifetime. */
   expire(now: number): void;
-  /** Stops all work; nothing is committed any more. */
+  /** Stops all items; nothing is committed any more. */
   stop(): void;
-  /** What was done of items that are not listed, for the next owner. */
+  /** Encodes the progress of items that are not listed, for the next owner. */
   exportProgress(): string;
-  /** Events that came in so far: tells whether progress is worth keeping. */
+  /** Number of events received of items that are not listed. */
   countEvents(): number;
-  /** Waits for a commit that is under way. */
+  /** Waits for a commit that is in progress. */
   settle(): Promise<void>;
   isStopped(): boolean;
 }
 
-/** What a run works with. */
 export interface BundleRunDependencies {
   clock: Clock;
   time: SharedTime;
   log: Log;
   store: BundleStore;
   routing: RoutingTable;
-  /** Told when nothing is left to do, or the bundle is another's. */
+  /**
+   * Called when the bundle is complete, stopped or owned by another instance.
+   */
   onEnd: () => void;
-  /** Told when an item may be run again. */
+  /** Called when an item may be run again. */
   onWork: () => void;
 }
 
@@ -88,11 +89,11 @@
   ) => void;
 };
 
-/** Used where the bundle's route is not known any more, in ms. */
+/** Lifetime and attempts of items whose route is not known any more. */
 const DEFAULT_LIFETIME_MS = 60_000;
 const DEFAULT_MAX_ATTEMPTS = 3;
 
-/** `progress` is what the owner before handed over. */
+/** Creates the run of a bundle; `progress` is what the last owner stored. */
 export function createBundleRun(
   {clock, time, log, store, routing, onEnd, onWork}: BundleRunDependencies,
   stored: StoredBundle,
@@ -103,18 +104,18 @@
   const {account, route: routeName, acceptedAt, routingVersion} = stored.fields;
   const controller = new AbortController();
   const route = routing.findRouteByName(routeName);
-  // Where the time is not known the bundle counts as new: its items are then
-  // given up too late, never too early.
+  // If the shared time is not known, the bundle counts as new. Its items are
+  // then given up too late, never too early.
   const ageMs = Math.max(0, (time.read() ?? acceptedAt) - acceptedAt);
   const dueAt = clock.now() - ageMs + (route?.dueMs ?? 0);
   const lifetimeMs = route?.itemLifetimeMs || DEFAULT_LIFETIME_MS;
-  const expiresAt = clock.now() - ageMs + lifetimeMs + TIME_ERROR_MS;
+  const expiresAt = clock.now() - ageMs + lifetimeMs + MAX_TIME_ERROR_MS;
   let bundle = stored;
   let listed = decodeListed(stored.fields.listed);
   let commitTimer: (() => void) | undefined;
   let committing: Promise<void> | undefined;
   let isEnded = false;
-  /** When the store last showed that the bundle is this instance's. */
+  /** Time at which the store last showed that this instance owns the bundle. */
   let confirmedAt = clock.now();
   const states = createItemStates(items, listed, progress);
 
@@ -123,7 +124,10 @@
     isEnded = true;
     controller.abort();
     commitTimer?.();
-    log.info({bundle: id, listed: listed.length, reason}, 'bundle let go');
+    log.info(
+      {bundle: id, listed: listed.length, reason},
+      'bundle stopped on this instance',
+    );
     onEnd();
   }
 
@@ -144,8 +148,11 @@
     clock.schedule(delayMs, onWork);
   }
 
-  function computeBackoff({tries}: ItemState): number {
-    return Math.min(ITEM_RETRY_MAX_MS, ITEM_RETRY_MS * 2 ** Math.min(tries, 5));
+  function computeBackoff({attempts}: ItemState): number {
+    return Math.min(
+      ITEM_RETRY_MAX_MS,
+      ITEM_RETRY_MS * 2 ** Math.min(attempts, 5),
+    );
   }
 
   const handlers: OutcomeHandlers = {
@@ -154,14 +161,17 @@
       state.result = buildCompleteResult(state);
       scheduleCommit(COMMIT_DELAY_MS);
     },
-    poison: state => giveUp(state, 'the endpoint cannot do it'),
+    poison: state =>
+      giveUp(state, 'the endpoint responded that it can never run the item'),
     failed(state, {endpoint}) {
       state.avoid.push(endpoint);
-      // Counted by answers, not tries: only those prove that it was run.
+      // Counts responses, not attempts: only a response proves that the item
+      // ran.
       state.failures++;
-      const most =
+      const maxFailures =
         routing.findRouteByName(routeName)?.maxAttempts ?? DEFAULT_MAX_ATTEMPTS;
-      if (state.failures >= most) giveUp(state, 'it failed too often');
+      if (state.failures >= maxFailures)
+        giveUp(state, 'the item failed as often as its route allows');
       else retryLater(state, ITEM_RETRY_MS);
     },
     interrupted(state, {endpoint}) {
@@ -171,14 +181,16 @@
     'no-slot'(state, {retryAfterMs}) {
       retryLater(state, Math.max(retryAfterMs, computeBackoff(state)));
     },
-    // It may not be given up before its time is over, unless endpoints say so.
+    // A quarantined item must not be given up before the end of its lifetime,
+    // unless an endpoint responds that it can never run it.
     held(state, {retryAfterMs}) {
       retryLater(state, Math.min(retryAfterMs, HELD_ITEM_RETRY_MS));
     },
     'no-route'(state) {
-      // Routing may be older here than where the bundle was accepted.
+      // This instance may have an older routing version than the one that
+      // accepted the bundle.
       const isGone = routing.getVersion() >= routingVersion;
-      if (isGone) giveUp(state, 'its route was taken away');
+      if (isGone) giveUp(state, 'its route was removed');
       else retryLater(state, computeBackoff(state));
     },
   };
@@ -193,8 +205,8 @@
     handler(state, outcome);
     if (outcome.kind === 'complete') return;
     log.info(
-      {bundle: id, item: state.item.id, tries: state.tries, ...outcome},
-      'item try ended',
+      {bundle: id, item: state.item.id, tries: state.attempts, ...outcome},
+      'item attempt ended',
     );
   }
 
@@ -204,27 +216,30 @@
       commitTimer = undefined;
       committing = commitEnded().finally(() => {
         committing = undefined;
-        const isMore = states.some(({state}) => state === 'ended');
-        if (isMore) scheduleCommit(COMMIT_DELAY_MS);
+        const hasMore = states.some(({state}) => state === 'ended');
+        if (hasMore) scheduleCommit(COMMIT_DELAY_MS);
       });
     });
   }
 
   async function commitEnded() {
-    const chosen = selectForCommit(states);
-    if (chosen.length === 0 || isEnded) return;
-    const next = [...listed, ...chosen.map(({index}) => index)];
+    const selected = selectForCommit(states);
+    if (selected.length === 0 || isEnded) return;
+    const next = [...listed, ...selected.map(({index}) => index)];
     try {
       const committed = await store.commitResults(
         bundle,
         next,
-        chosen.map(({result}) => result!),
+        selected.map(({result}) => result!),
       );
-      if (committed) noteListed(committed);
+      if (committed) applyListed(committed);
       else await syncWithStore();
     } catch (error) {
       if (!(error instanceof StoreError)) throw error;
-      log.warn({bundle: id, err: error.message}, 'results not committed yet');
+      log.warn(
+        {bundle: id, err: error.message},
+        'commit of results failed at the store; will be retried',
+      );
       await new Promise<void>(resolve =>
         clock.schedule(COMMIT_RETRY_MS, resolve),
       );
@@ -232,23 +247,30 @@
     }
   }
 
-  /** After a commit that failed or whose outcome is not known. */
+  /**
+   * Reads the bundle after a commit that failed or whose outcome is unknown.
+   */
   async function syncWithStore() {
-    noteCurrent(await store.find(id));
+    applyStored(await store.find(id));
   }
 
-  function noteCurrent(current: StoredBundle | undefined) {
+  function applyStored(current: StoredBundle | undefined) {
     const isOurs =
       current?.fields.state === 'open' &&
       current.fields.epoch === bundle.fields.epoch;
-    if (current && isOurs) noteListed(current);
+    if (current && isOurs) applyListed(current);
     else if (current && current.fields.state === 'complete')
-      noteListed(current);
-    else end(current ? 'another owner or ended' : 'its row is gone');
+      applyListed(current);
+    else
+      end(
+        current
+          ? 'bundle has another owner or was ended'
+          : 'bundle row is missing',
+      );
   }
 
-  /** A position that is listed in the store is final, whoever wrote it. */
-  function noteListed(current: StoredBundle) {
+  /** Positions that are listed in the store are final, whoever wrote them. */
+  function applyListed(current: StoredBundle) {
     bundle = current;
     confirmedAt = clock.now();
     listed = decodeListed(current.fields.listed);
@@ -267,10 +289,10 @@
     );
     if (!state) return undefined;
     state.state = 'running';
-    state.tries++;
-    const {item, text, tries, avoid} = state;
+    state.attempts++;
+    const {item, text, attempts, avoid} = state;
     return {
-      task: {item, account, route: routeName, dueAt, text, tries, avoid},
+      task: {item, account, route: routeName, dueAt, text, attempts, avoid},
       signal: controller.signal,
       finish: outcome => finishItem(state, outcome),
     };
@@ -295,18 +317,22 @@
       const {version} = bundle;
       try {
         const current = await store.find(id);
-        // A commit that came between has shown more than this look.
+        // A commit during the read has shown more than the read.
         if (committing || bundle.version !== version || isEnded) return;
-        noteCurrent(current);
+        applyStored(current);
       } catch (error) {
         if (!(error instanceof StoreError)) throw error;
-        log.info({bundle: id, err: error.message}, 'bundle not confirmed');
+        log.info(
+          {bundle: id, err: error.message},
+          'ownership of the bundle not confirmed: store call failed',
+        );
       }
     },
     expire(now) {
       if (now < expiresAt || isEnded) return;
       for (const state of states) {
-        if (state.state === 'waiting') giveUp(state, 'its time is over');
+        if (state.state === 'waiting')
+          giveUp(state, 'its lifetime has expired');
       }
     },
     stop: () => end('stopped'),
--- a/src/instance/bundles/bundle_store.ts
+++ b/src/instance/bundles/bundle_store.ts
@@ -1,10 +1,12 @@
 /**
- * Bundles in the store. Everything about one bundle lies in one shard, so that
- * each change is one transaction:
+ * Stores bundles. All rows of one bundle are in one shard, so that each change
+ * is one transaction:
  *
- * - its row says whose it is, what is listed and who may commit (the epoch),
- * - a second row, while it is open, says who works on it; all follow those,
- * - each listed result has a row; its position never changes.
+ * - The bundle's row contains its account, the listed items and the epoch of the
+ *   owner that may commit.
+ * - While the bundle is open, a second row names its owner. A few instances watch
+ *   these rows.
+ * - Each listed result has a row. Its position never changes.
  */
 import {
   waitingBundlesSchema,
@@ -51,16 +53,16 @@
   MAX_TEXT_IN_ROW,
 } from './constants.js';
 
-/** Whether a change was made, or the row was not as expected. */
+/** Whether a change was committed, or a row differed from what was expected. */
 export type ChangeOutcome = 'committed' | 'conflict';
 
 /** Reads and changes bundles. All methods throw StoreError. */
 export interface BundleStore {
   find(id: string): Promise<StoredBundle | undefined>;
   /**
-   * Makes a bundle with its items; `conflict` when there is one of that id.
-   * Items that fit go into rows of the same transaction: objects are slower,
-   * and may be out while rows are not.
+   * Creates a bundle with its items; `conflict` when a bundle has this id.
+   * Items that fit are written as rows in the same transaction, because objects
+   * are slower and may be unavailable while rows are available.
    */
   create(
     id: string,
@@ -68,48 +70,59 @@
     owner: OwnerFields,
     items: readonly BundleItem[],
   ): Promise<ChangeOutcome>;
-  /** Makes `owner` the one who may commit; its epoch is the next one. */
+  /**
+   * Makes `owner` the only one that may commit. Its epoch is the next one.
+   * Undefined after a conflict.
+   */
   changeOwner(
     bundle: StoredBundle,
     owner: OwnerFields,
   ): Promise<StoredBundle | undefined>;
-  /** Lists results; the last one completes the bundle. */
+  /**
+   * Appends results to the list; the last one completes the bundle. Undefined
+   * after a conflict.
+   */
   commitResults(
     bundle: StoredBundle,
     listed: readonly number[],
     results: readonly ItemResult[],
   ): Promise<StoredBundle | undefined>;
-  /** Ends an open bundle; `owner` is the instance that worked on it. */
+  /** Ends an open bundle and returns the instance that owned it as `owner`. */
   end(bundle: StoredBundle): Promise<{outcome: ChangeOutcome; owner: string}>;
-  /** Who works on an open bundle; undefined for one that is not open. */
+  /** Finds the owner of a bundle; undefined when the bundle is not open. */
   findOwner(id: string): Promise<OwnerFields | undefined>;
   /** Ids of all open bundles. */
   listOpen(): Promise<string[]>;
-  /** Results from a position on, as many as fit into one answer. */
+  /** Results from a position on, as many as fit into one page. */
   listResults(id: string, after: number): Promise<ItemResult[]>;
   fetchItems(bundle: StoredBundle): Promise<BundleItem[] | undefined>;
-  /** What was done of items that had not ended, for the next owner. */
+  /** Stores the progress of items not listed yet, for the next owner. */
   putProgress(id: string, progress: string): Promise<void>;
   fetchProgress(id: string): Promise<string | undefined>;
-  /** What an account has waiting on a route; undefined: nobody looked yet. */
+  /** Waiting bundles of an account on a route; undefined without a row. */
   fetchWaiting(
     account: string,
     route: string,
   ): Promise<{version: number; waiting: WaitingBundles} | undefined>;
-  /** Whether the row was as `version` says, and is as given now. */
+  /**
+   * Writes the waiting bundles of an account on a route; false when the row
+   * does not have the given version any more.
+   */
   putWaiting(
     account: string,
     route: string,
     version: number | undefined,
     waiting: WaitingBundles,
   ): Promise<boolean>;
-  /** Bundles of one shard that are not open and older than `before`. */
-  listOld(shard: string, before: number): Promise<StoredBundle[]>;
-  /** Removes all that is kept of a bundle. */
+  /**
+   * Bundles of one shard that are not open and were accepted before `before`.
+   */
+  listExpired(shard: string, before: number): Promise<StoredBundle[]>;
+  /** Deletes all rows and objects of a bundle. */
   delete(bundle: StoredBundle): Promise<void>;
 }
 
-/** Keeps bundles in a table and small objects. */
+/** Creates a store that uses table rows and small objects. */
 export function createBundleStore(
   table: TableStore,
   objects: SmallObjects,
@@ -137,7 +150,7 @@
     return table.get(buildKey(OPEN_BUNDLES, id));
   }
 
-  /** The row of an open bundle goes with the end of it. */
+  /** Deletes the owner row in the transaction that ends the bundle. */
   function buildRemoval(row: Row | undefined): WriteOperation[] {
     if (!row) return [];
     const condition = {kind: 'version', version: row.version} as const;
@@ -169,9 +182,9 @@
   async function decodeResult({fields}: Row): Promise<ItemResult> {
     const {itemId, state, text, object} = resultFieldsSchema.parse(fields);
     if (object === undefined) return {itemId, state, text: text ?? ''};
-    const held = await objects.get(object);
-    if (!held) throw new StoreError(`object ${object} is missing`, 'none');
-    return {itemId, state, text: held.toString('utf8')};
+    const body = await objects.get(object);
+    if (!body) throw new StoreError(`object ${object} is missing`, 'none');
+    return {itemId, state, text: body.toString('utf8')};
   }
 
   return {
@@ -287,7 +300,7 @@
       ]);
       return outcome.kind === 'committed';
     },
-    async listOld(shard, before) {
+    async listExpired(shard, before) {
       const rows = await table.query(buildPartition(BUNDLES, shard));
       return rows
         .map(decodeBundleRow)
--- a/src/instance/bundles/bundle_types.ts
+++ b/src/instance/bundles/bundle_types.ts
@@ -1,18 +1,18 @@
-/** Bundles as this product keeps them. */
+/** Schemas and types of stored bundles. */
 import * as z from 'zod';
 
-/** One item: a request that is run when there is room. */
+/** One item: a request that runs when an endpoint has a free slot. */
 export const bundleItemSchema = z.object({
   id: z.string(),
   /** Path with the query. */
   target: z.string(),
-  /** Names and values, alternating. */
+  /** Alternating names and values. */
   headers: z.array(z.string()),
   /** Base64. */
   body: z.string(),
   promptTokens: z.number(),
   answerTokens: z.number(),
-  /** What it counts for against its account's bound on waiting tokens. */
+  /** Tokens that count against the account's limit on waiting tokens. */
   tokens: z.number().default(0),
 });
 
@@ -22,22 +22,22 @@
 /** Type of the schema of the same name. */
 export type BundleItem = z.infer<typeof bundleItemSchema>;
 
-/** `open` until every item is listed or its account ends it. */
+/** A bundle is `open` until all its items are listed or its account ends it. */
 export const bundleStateSchema = z.enum(['open', 'complete', 'ended']);
 
-/** The fields of a bundle's row. Times are shared times in ms. */
+/** The fields of a bundle's row. Times are shared time in ms. */
 export const bundleFieldsSchema = z.object({
   account: z.string(),
-  /** Name of its route, and the version of routing it was accepted under. */
+  /** Name of the route, and the routing version at which it was accepted. */
   route: z.string(),
   routingVersion: z.number(),
   state: bundleStateSchema,
   total: z.number(),
-  /** Of all its items. */
+  /** Sum over all items. */
   tokens: z.number().default(0),
-  /** Item indexes in the order in which they were listed, joined by commas. */
+  /** Indexes of the listed items in the order of listing, joined by commas. */
   listed: z.string(),
-  /** Number of the last change of owner: an earlier owner commits nothing. */
+  /** Incremented at each change of owner; earlier owners cannot commit. */
   epoch: z.number(),
   acceptedAt: z.number(),
   /** Name of the object that holds the items. */
@@ -49,26 +49,26 @@
 /** A bundle's row. */
 export type BundleFields = z.infer<typeof bundleFieldsSchema>;
 
-/** The fields of the row that says who works on an open bundle. */
+/** The fields of the row that names the owner of an open bundle. */
 export const ownerFieldsSchema = z.object({
-  /** Name of the instance; empty when it was handed back. */
+  /** Name of the instance; empty after the owner released the bundle. */
   owner: z.string(),
   incarnation: z.string(),
   epoch: z.number(),
 });
 
-/** Who works on a bundle. */
+/** The owner of a bundle. */
 export type OwnerFields = z.infer<typeof ownerFieldsSchema>;
 
 /** How an item ended. */
 export interface ItemResult {
   itemId: string;
   state: 'complete' | 'given-up';
-  /** Data of all its events, joined by line feeds. */
+  /** Data of all events, joined by line feeds. */
   text: string;
 }
 
-/** The fields of a result's row: the text, or the object that holds it. */
+/** The fields of a result's row: the text, or the object that contains it. */
 export const resultFieldsSchema = z.object({
   itemId: z.string(),
   state: z.enum(['complete', 'given-up']),
@@ -76,12 +76,12 @@
   object: z.string().optional(),
 });
 
-/** Item indexes in the order of listing. */
+/** Decodes the `listed` field to item indexes in the order of listing. */
 export function decodeListed(listed: string): number[] {
   return listed === '' ? [] : listed.split(',').map(Number);
 }
 
-/** Item indexes as a row keeps them. */
+/** Encodes item indexes for the `listed` field. */
 export function encodeListed(indexes: readonly number[]): string {
   return indexes.join(',');
 }
--- a/src/instance/bundles/bundle_worker.ts
+++ b/src/instance/bundles/bundle_worker.ts
@@ -1,7 +1,8 @@
 /**
- * The bundles that this instance works on, and the choice of the next item.
- * Bundles whose owner is gone are taken over by the live instance that ranks
- * first for them; a late commit of the owner before is refused by the store.
+ * Runs the items of the bundles that this instance owns, the bundle that is due
+ * first before the others. When the owner of a bundle is gone, the live
+ * instance that ranks first for the bundle takes it over. The store refuses a
+ * late commit of the earlier owner.
  */
 import {waitFor, type Clock} from '../../common/clock.js';
 import {groupBy} from '../../common/collections.js';
@@ -21,42 +22,47 @@
 import {
   BUNDLE_RETENTION_MS,
   BUNDLE_SHARDS,
-  HANDOVER_MS,
+  HANDOVER_TIMEOUT_MS,
   MAX_ACTIVE_ITEMS,
-  UNCLEAR_MEMORY_MS,
-  UNWORKED_MS,
+  UNCLEAR_RETENTION_MS,
+  UNCLEAR_CHECK_DELAY_MS,
 } from './constants.js';
-import {createProgressKeeper, type BundleProgress} from './item_progress.js';
+import {createProgressStore, type BundleProgress} from './item_progress.js';
 import type {ItemRunner} from './item_runner.js';
 import {
-  MAX_ORPHANS_TOLD,
+  MAX_ORPHANS_PER_MESSAGE,
   type BundlePeers,
   type OrphanNotice,
 } from './bundle_peers.js';
 import {createOpenBundles, type Orphan} from './open_bundles.js';
 
-/** Works on bundles. */
+/** Runs the items of the bundles that this instance owns. */
 export interface BundleWorker extends StateSource {
-  /** Begins work on a bundle that names this instance as its owner. */
+  /** Starts a bundle that names this instance as its owner. */
   start(bundle: StoredBundle, items: readonly BundleItem[]): void;
-  /** Stops work on a bundle that was ended. */
+  /** Stops a bundle that was ended. */
   stop(id: string): void;
-  /** Has whoever works on a bundle stop. */
+  /** Stops a bundle on the instance that owns it. */
   stopOwner(id: string, owner: string): void;
-  /** Whether a bundle of this instance was made is not known: looks later. */
+  /** Notes that a bundle may have been created, to check it later. */
   noteUnclear(id: string): void;
   countOpenItems(): number;
-  /** Takes bundles over whose owner is gone, as a watcher says. */
+  /** Takes over bundles whose owner is gone according to a watcher. */
   adopt(orphans: readonly OrphanNotice[]): void;
-  /** Has bundles taken over whose owner is gone; starts what may run. */
+  /**
+   * Has bundles without a live owner taken over, expires items, confirms and
+   * stores the state of its own bundles, and starts items that may run.
+   */
   poll(): Promise<void>;
-  /** Deletes bundles past their retention, in the shards that rank here. */
+  /**
+   * Deletes bundles past their retention, in the shards for which this instance
+   * ranks first.
+   */
   removeOld(): Promise<void>;
-  /** Hands all bundles back, with what was done of them. */
+  /** Stores the progress of all bundles and releases them to other owners. */
   handOver(): Promise<void>;
 }
 
-/** What the worker works with. */
 export interface BundleWorkerDependencies {
   clock: Clock;
   time: SharedTime;
@@ -71,7 +77,6 @@
   peers: BundlePeers;
 }
 
-/** Starts without bundles. */
 export function createBundleWorker({
   clock,
   time,
@@ -87,13 +92,16 @@
 }: BundleWorkerDependencies): BundleWorker {
   const runs = new Map<string, BundleRun>();
   const adopting = new Set<string>();
-  const progress = createProgressKeeper(store, log);
+  const progress = createProgressStore(store, log);
   const open = createOpenBundles({watch, members, directory});
-  /** Bundles that may name this run without its knowledge, and since when. */
+  /**
+   * Time since which it is unclear whether a bundle with this instance as its
+   * owner was created, by bundle id.
+   */
   const unclearSince = new Map<string, number>();
   let active = 0;
   let isStopping = false;
-  const tries = metrics.createCounter(
+  const attempts = metrics.createCounter(
     'bundle_item_tries_total',
     'Tries of items of bundles, by how they ended.',
     ['outcome'],
@@ -134,7 +142,7 @@
     return run;
   }
 
-  /** The item whose bundle is due first. */
+  /** Takes the next item of the bundle that is due first. */
   function takeNextItem() {
     const now = clock.now();
     const ordered = [...runs.values()].sort((a, b) => a.dueAt - b.dueAt);
@@ -154,11 +162,14 @@
         .run(next.task, next.signal)
         .then(
           outcome => {
-            tries.inc({outcome: outcome.kind});
+            attempts.inc({outcome: outcome.kind});
             next.finish(outcome);
           },
           (error: Error) => {
-            log.error({item: next.task.item.id, err: error}, 'item run failed');
+            log.error(
+              {item: next.task.item.id, err: error},
+              'run of an item threw an unexpected error',
+            );
             next.finish({kind: 'interrupted', reason: error.message});
           },
         )
@@ -171,24 +182,30 @@
 
   async function adopt(bundle: StoredBundle) {
     const {id} = bundle;
-    const own = open.buildOwn(bundle.fields.epoch + 1);
+    const own = open.buildOwnership(bundle.fields.epoch + 1);
     const taken = await store.changeOwner(bundle, own);
     if (!taken) return;
     const items = await store.fetchItems(taken);
     if (!items) {
-      log.error({bundle: id}, 'the items of a bundle are missing');
+      log.error(
+        {bundle: id},
+        'bundle taken over, but its items are missing in the store',
+      );
       return;
     }
     const done = await progress.find(id);
     adoptions.inc();
     log.info({bundle: id, epoch: taken.fields.epoch}, 'bundle taken over');
-    // Its account may have ended it while the items were read.
+    // Its account may have ended the bundle while the items were read.
     const current = await store.find(id);
     if (current?.version !== taken.version) return;
     addRun(createRun(taken, items, done));
   }
 
-  /** A watcher's word may be old: by then another may have taken it over. */
+  /**
+   * The notice may be outdated: another instance may have taken the bundle
+   * over.
+   */
   async function adoptOrphan({id, epoch}: OrphanNotice) {
     const bundle = await store.find(id);
     const isOrphan =
@@ -196,7 +213,7 @@
     if (isOrphan) await adopt(bundle);
   }
 
-  /** The answer to the write that made it this instance's was lost. */
+  /** Adopts a bundle whose creation by this instance got no response. */
   async function adoptUnclear(id: string) {
     const bundle = await store.find(id);
     if (!bundle) return;
@@ -206,7 +223,7 @@
     unclearSince.delete(id);
   }
 
-  /** One step at a time for each bundle, and none for what is worked on. */
+  /** Runs one step at a time for each bundle, and none for a running bundle. */
   async function adoptOnce(id: string, step: () => Promise<void>) {
     if (adopting.has(id) || runs.has(id)) return;
     adopting.add(id);
@@ -214,7 +231,10 @@
       await step();
     } catch (error) {
       if (!(error instanceof StoreError)) throw error;
-      log.warn({bundle: id, err: error.message}, 'bundle not taken over yet');
+      log.warn(
+        {bundle: id, err: error.message},
+        'takeover of the bundle failed at the store; will be retried',
+      );
       noteUnclear(id);
     } finally {
       adopting.delete(id);
@@ -232,31 +252,33 @@
     );
   }
 
-  /** A write without an answer may still take effect some seconds later. */
+  /** A write without a response may still take effect some seconds later. */
   function resolveUnclear(now: number): Promise<void[]> {
     const steps: Promise<void>[] = [];
     for (const [id, since] of unclearSince) {
-      if (runs.has(id) || now - since > UNCLEAR_MEMORY_MS) {
+      if (runs.has(id) || now - since > UNCLEAR_RETENTION_MS) {
         unclearSince.delete(id);
-      } else if (now - since >= UNWORKED_MS) {
+      } else if (now - since >= UNCLEAR_CHECK_DELAY_MS) {
         steps.push(adoptOnce(id, () => adoptUnclear(id)));
       }
     }
     return Promise.all(steps);
   }
 
-  /** This instance's own are taken over here, the others by their heirs. */
-  async function handOutOrphans() {
+  /**
+   * Takes over the bundles of this instance and notifies the other successors.
+   */
+  async function assignOrphans() {
     open.refresh();
-    const byHeir = groupBy(open.listOrphans(), ({heir}) => heir);
-    for (const [heir, orphans] of byHeir) {
-      const told = orphans.slice(0, MAX_ORPHANS_TOLD).map(toNotice);
-      if (heir.name === members.self.name) await adoptAll(told);
-      else peers.sendOrphans(heir.address, told);
+    const bySuccessor = groupBy(open.listOrphans(), ({successor}) => successor);
+    for (const [successor, orphans] of bySuccessor) {
+      const notices = orphans.slice(0, MAX_ORPHANS_PER_MESSAGE).map(toNotice);
+      if (successor.name === members.self.name) await adoptAll(notices);
+      else peers.sendOrphans(successor.address, notices);
     }
   }
 
-  async function handBack(run: BundleRun) {
+  async function releaseBundle(run: BundleRun) {
     await run.settle();
     const done = run.exportProgress();
     run.stop();
@@ -289,10 +311,10 @@
       const now = clock.now();
       for (const run of runs.values()) run.expire(now);
       await Promise.all([
-        handOutOrphans(),
+        assignOrphans(),
         resolveUnclear(now),
         ...[...runs.values()].map(run => run.confirm(now)),
-        ...[...runs.values()].map(progress.keep),
+        ...[...runs.values()].map(progress.save),
       ]);
       startItems();
     },
@@ -303,15 +325,15 @@
       for (let shard = 0; shard < BUNDLE_SHARDS; shard++) {
         const [first] = members.rankInstances(`shard ${shard}`);
         if (first?.name !== members.self.name) continue;
-        for (const bundle of await store.listOld(String(shard), before)) {
+        for (const bundle of await store.listExpired(String(shard), before)) {
           await store.delete(bundle);
         }
       }
     },
     async handOver() {
       isStopping = true;
-      const handed = Promise.allSettled([...runs.values()].map(handBack));
-      await Promise.race([handed, waitFor(clock, HANDOVER_MS)]);
+      const handed = Promise.allSettled([...runs.values()].map(releaseBundle));
+      await Promise.race([handed, waitFor(clock, HANDOVER_TIMEOUT_MS)]);
       for (const run of [...runs.values()]) run.stop();
     },
     describeState: () => ({
--- a/src/instance/bundles/bundles.test.ts
+++ b/src/instance/bundles/bundles.test.ts
@@ -1,4 +1,6 @@
-/** Bundles against a table and objects in memory, with fake runs of items. */
+/**
+ * Tests bundles with an in-memory table and objects, and scripted item runs.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createSilentLog} from '../../common/log.js';
@@ -19,8 +21,8 @@
 import {
   BUNDLE_RETENTION_MS,
   CONFIRM_INTERVAL_MS,
-  TIME_ERROR_MS,
-  UNWORKED_MS,
+  MAX_TIME_ERROR_MS,
+  UNCLEAR_CHECK_DELAY_MS,
 } from './constants.js';
 import type {ItemOutcome, ItemTask} from './item_runner.js';
 
@@ -75,10 +77,10 @@
   return {id, account, host, route: 'lots', items: makeItems(count)};
 }
 
-/** Where the row of the bundle `b1` lies. */
+/** Partition of the row of the bundle `b1`. */
 const BUNDLE_PARTITION = `bundles/${chooseShard('b1')}`;
 
-/** How the runs of items go: completed with a text unless told otherwise. */
+/** Replaces the item runner: returns the outcome of an attempt. */
 type RunScript = (task: ItemTask, signal: AbortSignal) => Promise<ItemOutcome>;
 
 const completeAtOnce: RunScript = async task => {
@@ -86,9 +88,14 @@
   return {kind: 'complete'};
 };
 
-const noRun: RunScript = async () => ({kind: 'no-slot', retryAfterMs: 100});
+const findNoSlot: RunScript = async () => ({
+  kind: 'no-slot',
+  retryAfterMs: 100,
+});
 
-/** Instances by name that share a store; `live` are those others see. */
+/**
+ * Instances that share a store; `live` names those that other instances see.
+ */
 function createFleet() {
   const clock = createVirtualClock();
   const memory = createMemoryPlatform(clock);
@@ -96,11 +103,11 @@
   const live = new Set<string>();
   const incarnations = new Map<string, string>();
   const workers = new Map<string, BundleWorker>();
-  /** Whether what instances tell each other is lost. */
+  /** Whether messages between instances are lost. */
   const network = {isCut: false};
   const views = new Map<string, Set<string>>();
 
-  /** `aheadMs`: how far the wall clock of its machine is ahead. */
+  /** Starts an instance whose wall clock is ahead by `aheadMs`. */
   function join(
     name: string,
     run: RunScript,
@@ -172,7 +179,9 @@
     return bundles.read({id, account: 'planner', after, waitMs: 0}, signal);
   }
 
-  /** Two more stay, so that those left are most of the fleet. */
+  /**
+   * Removes an instance and adds 2, so that the live instances are a majority.
+   */
   function leave(name: string) {
     live.delete(name);
     for (const witness of ['witness-1', 'witness-2']) {
@@ -199,7 +208,7 @@
 }
 
 describe('bundles', () => {
-  it('are worked on once accepted, and read from any instance', async () => {
+  it('run once accepted, and can be read from any instance', async () => {
     const fleet = createFleet();
     const one = fleet.join('entry-1', completeAtOnce);
     const two = fleet.join('entry-2', completeAtOnce);
@@ -218,7 +227,7 @@
     });
   });
 
-  it('are accepted once however often they are handed in', async () => {
+  it('are accepted once when they are submitted repeatedly', async () => {
     const fleet = createFleet();
     const runs: string[] = [];
     const script: RunScript = async (task, signal) => {
@@ -246,7 +255,7 @@
     await assert.rejects(one.bundles.end('b1', 'gate'), {code: 'not_found'});
   });
 
-  it('give the body of an item until they are ended', async () => {
+  it('return the body of an item until they are ended', async () => {
     const fleet = createFleet();
     const one = fleet.join('entry-1', () => new Promise(() => {}));
     await one.bundles.submit(makeSubmission());
@@ -258,11 +267,11 @@
     });
   });
 
-  describe('when the store gives no answer', () => {
-    it('refuses only what is certainly not kept', async () => {
-      // The caller acts on the answer: after a refusal the bundle must never
-      // run. When the answer to the write is lost it may be kept, so nothing
-      // is promised; and being kept, it is worked on all the same.
+  describe('when the store does not respond', () => {
+    it('refuses only what is certainly not stored', async () => {
+      // Callers rely on the response: a refused bundle must never run. If the
+      // response to the write is lost, the bundle may be stored, so the caller
+      // gets no guarantee. A bundle that is stored runs nevertheless.
       const fleet = createFleet();
       const one = fleet.join('entry-1', completeAtOnce);
       fleet.memory.faults.down = true;
@@ -275,15 +284,15 @@
         verdict: 'may-have-run',
       });
       await one.worker.poll();
-      await fleet.clock.advanceAsync(UNWORKED_MS + 100);
+      await fleet.clock.advanceAsync(UNCLEAR_CHECK_DELAY_MS + 100);
       await one.worker.poll();
       await fleet.clock.advanceAsync(1000);
       assert.equal((await fleet.readAll(one)).next, 3);
     });
 
-    it('keeps bundles and their results while objects are out', async () => {
+    it('serves bundles and results while objects are unavailable', async () => {
       // The store refuses every call on objects while it serves rows. Callers
-      // were refused and bundles that were accepted could not be taken over.
+      // were refused, and accepted bundles could not be taken over.
       const fleet = createFleet();
       fleet.memory.faults.downServices = ['objects'];
       const one = fleet.join('entry-1', () => new Promise(() => {}));
@@ -294,7 +303,7 @@
       assert.equal((await fleet.readAll(again)).next, 3);
     });
 
-    it('keeps items that are too large for rows as an object', async () => {
+    it('stores items that are too large for rows as an object', async () => {
       const fleet = createFleet();
       const one = fleet.join('entry-1', () => new Promise(() => {}));
       const large = makeSubmission(2);
@@ -304,7 +313,7 @@
       assert.equal(body.length, 600_000);
     });
 
-    it('lists results once although the answer to a commit is lost', async () => {
+    it('lists results once when the response to a commit is lost', async () => {
       const fleet = createFleet();
       const one = fleet.join('entry-1', completeAtOnce);
       await one.bundles.submit(makeSubmission());
@@ -317,10 +326,10 @@
   });
 
   describe('when the owner is gone', () => {
-    it('are taken over, and a late commit of the owner is refused', async () => {
+    it('are taken over, and a late commit of the owner fails', async () => {
       // The owner is paused with an item that has ended but is not listed.
-      // Another instance takes the bundle over and lists all; when the first
-      // wakes, nothing of it is listed a second time.
+      // Another instance takes the bundle over and lists all results. When the
+      // first continues, it must not list a result a second time.
       const fleet = createFleet();
       let finishLate: (outcome: ItemOutcome) => void = () => {};
       const one = fleet.join('entry-1', task => {
@@ -341,9 +350,9 @@
       );
     });
 
-    // Guards against calls to the store that grow with instances times bundles,
-    // and against a bundle that the few who watch do not hand on.
-    it('are handed to their heirs by the few instances that watch', async () => {
+    // Guards against store calls that grow with instances times bundles, and
+    // against a bundle that the few watchers do not pass on to a new owner.
+    it('are assigned to new owners by the few instances that watch', async () => {
       const fleet = createFleet();
       const never: RunScript = () => new Promise(() => {});
       const names = Array.from(
@@ -360,15 +369,15 @@
       await fleet.clock.advanceAsync(100);
       const watching = all.filter(({worker}) => countOpen(worker) > 0);
       assert.ok(watching.length > 0 && watching.length <= 5);
-      const heir = all[0].worker.describeState() as {own: string[]};
-      assert.deepEqual(heir.own, ['b1']);
+      const successor = all[0].worker.describeState() as {own: string[]};
+      assert.deepEqual(successor.own, ['b1']);
       assert.equal((await all[0].store.find('b1'))!.fields.epoch, 2);
     });
 
-    it('stay with one side while the fleet is apart', async () => {
-      // Two of five instances are cut off from the others but reach the store.
-      // Each side takes the other for dead; if both took bundles over, each
-      // would stop the other's runs again and again, and none would end.
+    it('are owned by one side during a network partition', async () => {
+      // 2 of 5 instances are partitioned from the others but reach the store.
+      // Each side considers the other dead. If both took bundles over, each
+      // would repeatedly stop the other's runs, and no item would complete.
       const fleet = createFleet();
       const never: RunScript = () => new Promise(() => {});
       const sides = {
@@ -396,9 +405,10 @@
       assert.deepEqual(epochs, [2, 1]);
     });
 
-    it('stay with an instance that has not registered its new run', async () => {
-      // An instance that has just restarted accepts a bundle. Others, who see
-      // its run before in its row, must not take that for the present one.
+    it('stay with an owner that has not registered its incarnation', async () => {
+      // An instance that has just restarted accepts a bundle. Other instances,
+      // which still see the previous incarnation registered, must not consider
+      // the owner gone.
       const fleet = createFleet();
       const never: RunScript = () => new Promise(() => {});
       const two = fleet.join('entry-2', never);
@@ -409,7 +419,7 @@
       assert.equal((await two.store.find('b1'))!.fields.epoch, 1);
     });
 
-    it('are taken up again by an instance that restarts', async () => {
+    it('are resumed by an owner that restarts', async () => {
       const fleet = createFleet();
       const one = fleet.join('entry-1', () => new Promise(() => {}));
       await one.bundles.submit(makeSubmission());
@@ -419,9 +429,10 @@
       assert.equal((await fleet.readAll(again)).next, 3);
     });
 
-    it('go on where the owner was, when it hands them over', async () => {
-      // An item runs for seconds. An instance that stops hands over the events
-      // it has; the next owner asks for what comes after the last of them.
+    it('resume from the handed over progress', async () => {
+      // An item runs for seconds. An instance that stops stores the events it
+      // has received. The next owner requests the events after the last of
+      // them.
       const fleet = createFleet();
       const one = fleet.join('entry-1', task => {
         task.text.lastId = '7';
@@ -431,15 +442,15 @@
       await one.bundles.submit(makeSubmission(1));
       await one.worker.handOver();
       fleet.leave('entry-1');
-      const asked: (string | undefined)[] = [];
+      const resumedAfter: (string | undefined)[] = [];
       const two = fleet.join('entry-2', async task => {
-        asked.push(task.text.lastId);
+        resumedAfter.push(task.text.lastId);
         task.text.pieces.push('ended');
         return {kind: 'complete'};
       });
       await two.worker.poll();
       await fleet.clock.advanceAsync(1000);
-      assert.deepEqual(asked, ['7']);
+      assert.deepEqual(resumedAfter, ['7']);
       const [{text}] = (await fleet.readAll(two)).results;
       assert.equal(text, 'begun\nended');
     });
@@ -462,9 +473,9 @@
       assert.ok(signals.every(signal => signal.aborted));
     });
 
-    // Guards against items that go on reaching endpoints when the instance that
-    // works on them is not told of the end.
-    it('stops its items although the word of it is lost', async () => {
+    // Guards against items that continue to be sent to endpoints when the owner
+    // does not receive the notification that the bundle was ended.
+    it('stops its items although the notification is lost', async () => {
       const fleet = createFleet();
       const signals: AbortSignal[] = [];
       const one = fleet.join('entry-1', (_task, signal) => {
@@ -482,10 +493,10 @@
       assert.ok(signals.every(signal => signal.aborted));
     });
 
-    it('stops them although the bundle was being taken over', async () => {
+    it('stops its items while the bundle is being taken over', async () => {
       // The account ends its bundle between two steps of a takeover, and the
-      // news of it comes while the new owner still reads the items. Its items
-      // reached endpoints for the rest of the day.
+      // notification arrives while the new owner still reads the items. The
+      // items were sent to endpoints for the rest of the day.
       const fleet = createFleet();
       const one = fleet.join('entry-1', () => new Promise(() => {}));
       await one.bundles.submit(makeSubmission());
@@ -508,13 +519,13 @@
     });
   });
 
-  describe('an item that cannot be done', () => {
+  describe('an item that does not complete', () => {
     async function runTo(outcomes: ItemOutcome[], afterMs = 20_000) {
       const fleet = createFleet();
-      let tries = 0;
+      let attempts = 0;
       const one = fleet.join('entry-1', async () => {
-        const outcome = outcomes[Math.min(tries, outcomes.length - 1)];
-        tries++;
+        const outcome = outcomes[Math.min(attempts, outcomes.length - 1)];
+        attempts++;
         return outcome;
       });
       await one.bundles.submit(makeSubmission(1));
@@ -523,38 +534,38 @@
         await one.worker.poll();
       }
       const {results} = await fleet.readAll(one);
-      return {tries, state: results[0]?.state, fleet, one};
+      return {attempts, state: results[0]?.state, fleet, one};
     }
 
-    it('is given up when an endpoint says that it never can', async () => {
-      const {tries, state} = await runTo([{kind: 'poison'}]);
-      assert.deepEqual([tries, state], [1, 'given-up']);
+    it('is given up when an endpoint can never run it', async () => {
+      const {attempts, state} = await runTo([{kind: 'poison'}]);
+      assert.deepEqual([attempts, state], [1, 'given-up']);
     });
 
     it('is given up after as many failures as its route allows', async () => {
       const failed = {kind: 'failed', endpoint: 'e'} as const;
-      const {tries, state} = await runTo([failed]);
-      assert.deepEqual([tries, state], [3, 'given-up']);
+      const {attempts, state} = await runTo([failed]);
+      assert.deepEqual([attempts, state], [3, 'given-up']);
     });
 
-    it('is not given up for want of a slot before its time', async () => {
+    it('is not given up for lack of a slot while it lives', async () => {
       const noSlot = {kind: 'no-slot', retryAfterMs: 500} as const;
       const lifetimeMs = ROUTE.itemLifetimeMs;
       const early = await runTo([noSlot], lifetimeMs);
       assert.equal(early.state, undefined);
-      const late = await runTo([noSlot], lifetimeMs + TIME_ERROR_MS + 3000);
+      const late = await runTo([noSlot], lifetimeMs + MAX_TIME_ERROR_MS + 3000);
       assert.equal(late.state, 'given-up');
     });
 
-    // The wall clock of one machine jumps ahead by more than an item may take.
-    // It takes over a bundle that is a second old: by that clock its items are
-    // past their time, and the caller would read results that say so.
-    it('is not given up by a wall clock that is ahead', async () => {
+    // The wall clock of one machine jumps ahead by more than the lifetime of
+    // items, and its instance takes over a bundle that is a second old. By that
+    // clock the items have expired, and the caller would read them as given up.
+    it('is not given up because a wall clock is ahead', async () => {
       const fleet = createFleet();
-      const one = fleet.join('entry-1', noRun);
+      const one = fleet.join('entry-1', findNoSlot);
       await one.bundles.submit(makeSubmission(1));
       const aheadMs = 2 * ROUTE.itemLifetimeMs;
-      const two = fleet.join('entry-2', noRun, 'entry-2-1', aheadMs);
+      const two = fleet.join('entry-2', findNoSlot, 'entry-2-1', aheadMs);
       fleet.leave('entry-1');
       one.worker.stop('b1');
       for (let waited = 0; waited < 5000; waited += 500) {
@@ -564,21 +575,21 @@
       assert.equal((await fleet.readAll(two)).results.length, 0);
     });
 
-    // Another machine's wall clock is ahead by more than bundles are kept: it
-    // would remove what was listed a moment ago.
-    it('is not removed by a wall clock that is ahead', async () => {
+    // The wall clock of another machine is ahead by more than the retention of
+    // bundles. Its instance would delete results that were just listed.
+    it('is not deleted because a wall clock is ahead', async () => {
       const fleet = createFleet();
       const one = fleet.join('entry-1', completeAtOnce);
       await one.bundles.submit(makeSubmission(1));
       await fleet.clock.advanceAsync(500);
       const aheadMs = 2 * BUNDLE_RETENTION_MS;
       fleet.live.delete('entry-1');
-      const two = fleet.join('entry-2', noRun, 'entry-2-1', aheadMs);
+      const two = fleet.join('entry-2', findNoSlot, 'entry-2-1', aheadMs);
       await two.worker.removeOld();
       assert.equal((await fleet.readAll(two)).results.length, 1);
     });
 
-    it('is kept while this instance may know an older configuration', async () => {
+    it('is not given up while the instance may have old routing', async () => {
       const fleet = createFleet();
       const one = fleet.join('entry-1', async () => ({kind: 'no-route'}));
       one.routing.apply(makeRouting(4));
@@ -595,7 +606,7 @@
     });
   });
 
-  it('are refused when their items share an id or are none', async () => {
+  it('are refused with duplicate item ids, no items or too many', async () => {
     const fleet = createFleet();
     const one = fleet.join('entry-1', completeAtOnce);
     const twice = makeSubmission(2);
@@ -605,7 +616,7 @@
     }
   });
 
-  it('report a store that fails in the middle of a read', async () => {
+  it('report a store failure during a read', async () => {
     const fleet = createFleet();
     const one = fleet.join('entry-1', completeAtOnce);
     fleet.memory.faults.down = true;
--- a/src/instance/bundles/bundles.ts
+++ b/src/instance/bundles/bundles.ts
@@ -1,6 +1,7 @@
 /**
- * Bundles of items: accepted whole, worked on by one instance at a time, read
- * from any. What is promised lies in the store before it is promised.
+ * Accepts bundles of items and reads their results. A bundle is accepted as a
+ * unit, owned by one instance at a time, and readable from any instance. It is
+ * stored before the caller is told that it was accepted.
  */
 import type {Clock} from '../../common/clock.js';
 import {waitFor} from '../../common/clock.js';
@@ -22,14 +23,14 @@
 import type {BundleWorker} from './bundle_worker.js';
 import {createTokenAllowance} from './token_allowance.js';
 import {
-  FULL_RETRY_MS,
+  FULL_RETRY_DELAY_MS,
   MAX_BUNDLE_ITEMS,
-  MAX_CHANGE_TRIES,
+  MAX_CHANGE_ATTEMPTS,
   MAX_OPEN_ITEMS,
-  READ_POLL_MS,
+  READ_POLL_INTERVAL_MS,
 } from './constants.js';
 
-/** A bundle as it is handed in. */
+/** A bundle as a caller submits it. */
 export interface BundleSubmission {
   id: string;
   account: string;
@@ -38,33 +39,32 @@
   items: BundleItem[];
 }
 
-/** What to read of a bundle. */
+/** A request for results of a bundle. */
 export interface BundleRead {
   id: string;
   account: string;
-  /** First position. */
+  /** Position of the first result. */
   after: number;
-  /** How long to wait for a result at that position, in ms. */
+  /** Maximum wait for a result at that position, in ms. */
   waitMs: number;
 }
 
-/** Results from a position on. */
+/** One page of results. */
 export interface BundleResults {
   total: number;
   next: number;
   results: ItemResult[];
 }
 
-/** Bundles as callers use them. All methods throw RouterError. */
+/** The operations of callers on bundles. All methods throw RouterError. */
 export interface Bundles extends StateSource {
-  /** Resolves once the bundle is kept; again for one that was accepted before. */
+  /** Resolves once the bundle is stored; idempotent. */
   submit(submission: BundleSubmission): Promise<void>;
   read(read: BundleRead, signal: AbortSignal): Promise<BundleResults>;
   fetchItemBody(id: string, itemId: string, account: string): Promise<Buffer>;
   end(id: string, account: string): Promise<void>;
 }
 
-/** What bundles work with. */
 export interface BundlesDependencies {
   clock: Clock;
   time: SharedTime;
@@ -73,11 +73,11 @@
   store: BundleStore;
   routing: RoutingTable;
   worker: BundleWorker;
-  /** The owner that new bundles name. */
+  /** The owner of new bundles. */
   getSelf: () => {owner: string; incarnation: string};
 }
 
-/** Answers callers; the worker does the work. */
+/** Creates the operations of callers; `worker` runs the accepted bundles. */
 export function createBundles({
   clock,
   time,
@@ -100,7 +100,7 @@
     listOpen: store.listOpen,
   });
 
-  /** What a store that gives no answer means for the caller. */
+  /** Converts a StoreError to a RouterError with the verdict for the caller. */
   async function runOnStore<Result>(
     run: () => Promise<Result>,
   ): Promise<Result> {
@@ -127,11 +127,11 @@
 
   function checkSubmission({items}: BundleSubmission) {
     const ids = new Set(items.map(item => item.id));
-    const isSound =
+    const isValid =
       items.length > 0 &&
       items.length <= MAX_BUNDLE_ITEMS &&
       ids.size === items.length;
-    if (isSound) return;
+    if (isValid) return;
     throw new RouterError(
       'invalid_request',
       `a bundle has 1 to ${MAX_BUNDLE_ITEMS} items with ids of their own`,
@@ -139,7 +139,7 @@
     );
   }
 
-  /** One that is known by this id must be the same bundle. */
+  /** Throws when the bundle that has this id is not the submitted one. */
   function checkRepeated(known: StoredBundle, account: string, digest: string) {
     const isSame =
       known.fields.account === account && known.fields.digest === digest;
@@ -149,7 +149,10 @@
     });
   }
 
-  /** Known here as a rule: the store was asked for the bundle just before. */
+  /**
+   * The shared time is usually known here, because the bundle was read from the
+   * store just before.
+   */
   function readTime(): number {
     const now = time.read();
     if (now !== undefined) return now;
@@ -175,7 +178,7 @@
       digest,
     };
     const owner = {...getSelf(), epoch: 1};
-    const outcome = await createOrNote(id, fields, owner, items);
+    const outcome = await createOrNoteUnclear(id, fields, owner, items);
     if (outcome === 'committed') {
       worker.start({id, version: 1, fields}, items);
       return 'accepted';
@@ -185,8 +188,8 @@
     return 'repeated';
   }
 
-  /** A write without an answer may have made the bundle this instance's. */
-  async function createOrNote(
+  /** A write without a response may have created the bundle. */
+  async function createOrNoteUnclear(
     ...written: Parameters<BundleStore['create']>
   ): ReturnType<BundleStore['create']> {
     try {
@@ -215,7 +218,10 @@
     return create(submission, digest);
   }
 
-  /** Nothing of the bundle is written before this, whatever the store says. */
+  /**
+   * Enters the bundle in the account's token limit. No part of the bundle is
+   * written before this, so each failure of the store has the effect `none`.
+   */
   async function checkAllowance({id, account, route, items}: BundleSubmission) {
     const maxTokens = routing.findRouteByName(route)?.maxWaitingTokens ?? 0;
     if (maxTokens <= 0) return;
@@ -232,11 +238,11 @@
     throw new RouterError(
       'rate_limited',
       `${account} has too many tokens waiting on ${route}`,
-      {verdict: 'not-run', retryAfterMs: FULL_RETRY_MS},
+      {verdict: 'not-run', retryAfterMs: FULL_RETRY_DELAY_MS},
     );
   }
 
-  /** A write that may have begun is no proof that the bundle is not kept. */
+  /** A submission is `refused` only if the bundle is certainly not stored. */
   function toOutcome(error: unknown): 'unclear' | 'refused' {
     const isRefused =
       error instanceof RouterError && error.verdict === 'not-run';
@@ -283,7 +289,7 @@
         const leftMs = waitsUntil - clock.now();
         const isDone = page.results.length > 0 || !isOpen || leftMs <= 0;
         if (isDone || signal.aborted) return page;
-        await waitFor(clock, Math.min(READ_POLL_MS, leftMs));
+        await waitFor(clock, Math.min(READ_POLL_INTERVAL_MS, leftMs));
       }
     },
     async fetchItemBody(id, itemId, account) {
@@ -299,7 +305,7 @@
       });
     },
     async end(id, account) {
-      for (let attempt = 0; attempt < MAX_CHANGE_TRIES; attempt++) {
+      for (let attempt = 0; attempt < MAX_CHANGE_ATTEMPTS; attempt++) {
         const bundle = await findOwn(id, account);
         if (bundle.fields.state !== 'open') return;
         const {outcome, owner} = await runOnStore(() => store.end(bundle));
--- a/src/instance/bundles/item_progress.ts
+++ b/src/instance/bundles/item_progress.ts
@@ -1,83 +1,97 @@
 /**
- * What was done of items that are not listed yet, kept outside the instance
- * that does it.
+ * Stores the progress of items that are not listed yet.
  *
- * When all instances die at once, what items have so far is in memory only:
- * every item that ran would begin anew, and be late. Kept now and then, at most
- * PROGRESS_EVENTS of each are made again.
+ * The text received so far is in the memory of the owner. If all instances
+ * crash at once without stored progress, every running item starts again from
+ * its first event and is late. With progress stored from time to time, at most
+ * about PROGRESS_INTERVAL_EVENTS events of a bundle are generated again.
  */
 import * as z from 'zod';
 import type {Log} from '../../common/log.js';
 import {StoreError} from '../../stores/table_store.js';
 import type {BundleRun} from './bundle_run.js';
 import type {BundleStore} from './bundle_store.js';
-import {PROGRESS_EVENTS} from './constants.js';
+import {PROGRESS_INTERVAL_EVENTS} from './constants.js';
 
 const itemProgressSchema = z.object({
-  /** Id of the last whole event. */
+  /** Id of the last complete event. */
   lastId: z.string().optional(),
-  /** Data of the whole events. */
+  /** Data of the complete events. */
   pieces: z.array(z.string()),
-  /** Whether its text is whole and only its listing is missing. */
+  /** Whether the text is complete and the item only has to be listed. */
   isWhole: z.boolean().optional(),
 });
 
 const bundleProgressSchema = z.record(z.string(), itemProgressSchema);
 
-/** By the index of the item. */
+/** Progress of the items of a bundle, by item index. */
 export type BundleProgress = z.infer<typeof bundleProgressSchema>;
 
-/** Progress as it is kept. */
+/** Encodes progress for storage. */
 export function encodeProgress(progress: BundleProgress): string {
   return JSON.stringify(progress);
 }
 
-/** Keeps and finds progress. */
-export interface ProgressKeeper {
-  /** Keeps a run's progress once there is enough more of it. */
-  keep(run: BundleRun): Promise<void>;
-  /** What the owner before kept; undefined where nothing can be read. */
+/** Stores and fetches the progress of bundles. */
+export interface ProgressStore {
+  /**
+   * Stores a run's progress if it has PROGRESS_INTERVAL_EVENTS more than last
+   * time.
+   */
+  save(run: BundleRun): Promise<void>;
+  /**
+   * Fetches the progress that the last owner stored; undefined if unreadable.
+   */
   find(id: string): Promise<BundleProgress | undefined>;
 }
 
-/** Starts with nothing kept. */
-export function createProgressKeeper(
+export function createProgressStore(
   store: Pick<BundleStore, 'putProgress' | 'fetchProgress'>,
   log: Log,
-): ProgressKeeper {
-  /** Events of each run when its progress was last kept. */
-  const keptEvents = new WeakMap<BundleRun, number>();
+): ProgressStore {
+  /** Number of events of each run when its progress was last stored. */
+  const storedEvents = new WeakMap<BundleRun, number>();
 
   function decodeProgress(id: string, text: string) {
     try {
       return bundleProgressSchema.parse(JSON.parse(text));
     } catch (error) {
-      log.warn({bundle: id, err: String(error)}, 'progress not readable');
+      log.warn(
+        {bundle: id, err: String(error)},
+        'stored progress of the bundle cannot be decoded',
+      );
       return undefined;
     }
   }
 
   return {
-    async keep(run) {
+    async save(run) {
       const events = run.countEvents();
-      const kept = keptEvents.get(run) ?? 0;
-      if (Math.abs(events - kept) < PROGRESS_EVENTS) return;
-      keptEvents.set(run, events);
+      const stored = storedEvents.get(run) ?? 0;
+      if (Math.abs(events - stored) < PROGRESS_INTERVAL_EVENTS) return;
+      storedEvents.set(run, events);
       try {
         await store.putProgress(run.id, run.exportProgress());
       } catch (error) {
         if (!(error instanceof StoreError)) throw error;
-        log.warn({bundle: run.id, err: error.message}, 'progress not kept');
+        log.warn(
+          {bundle: run.id, err: error.message},
+          'progress of the bundle not stored',
+        );
       }
     },
     async find(id) {
-      // Without it the items begin anew, which costs less than waiting for it.
+      // Without progress the items start again, which costs less than waiting
+      // for the store.
       try {
         const text = await store.fetchProgress(id);
         return text === undefined ? undefined : decodeProgress(id, text);
       } catch (error) {
         if (!(error instanceof StoreError)) throw error;
-        log.warn({bundle: id, err: error.message}, 'progress not read');
+        log.warn(
+          {bundle: id, err: error.message},
+          'progress of the bundle not fetched; items start again',
+        );
         return undefined;
       }
     },
--- a/src/instance/bundles/item_runner.ts
+++ b/src/instance/bundles/item_runner.ts
@@ -1,4 +1,7 @@
-/** Runs one item: a slot that online work leaves free, a run, what came of it. */
+/**
+ * Runs one item of a bundle: acquires a slot that online requests leave free,
+ * sends the item to the slot's endpoint and determines the outcome.
+ */
 import type {Clock} from '../../common/clock.js';
 import {RouterError} from '../../common/errors.js';
 import {computeContentId} from '../../common/ids.js';
@@ -15,38 +18,41 @@
 import type {Route} from '../routing/routing_document.js';
 import type {RoutingTable} from '../routing/routing_table.js';
 import type {BundleItem} from './bundle_types.js';
-import {ITEM_RUN_MS, ITEM_SILENCE_MS} from './constants.js';
+import {MAX_ITEM_RUN_MS, ITEM_SILENCE_TIMEOUT_MS} from './constants.js';
 import {createItemTextReader, type ItemText} from './item_text.js';
 
-/** An item that is to be run. */
+/** One attempt to run an item. */
 export interface ItemTask {
   item: BundleItem;
   account: string;
   route: string;
   /** Monotonic time by which its result is due. */
   dueAt: number;
-  /** What earlier runs brought; this one adds to it. */
+  /** Text that earlier runs received; this run adds to it. */
   text: ItemText;
-  /** Tries so far, this one included. */
-  tries: number;
-  /** Endpoints that failed it. */
+  /** Attempts so far, including this one. */
+  attempts: number;
+  /** Endpoints at which the item failed. */
   avoid: readonly string[];
 }
 
-/** How one try ended. */
+/** How one attempt ended. */
 export type ItemOutcome =
   | {kind: 'complete'}
-  /** The endpoint says that it can never be done. */
+  /** The endpoint responded that the item can never be run. */
   | {kind: 'poison'}
-  /** The endpoint ran it and failed. */
+  /** The endpoint ran the item and failed. */
   | {kind: 'failed'; endpoint: string}
-  /** Stopped or cut off: it goes on where it was. */
+  /** The run was stopped or cut off; the next one resumes the stream. */
   | {kind: 'interrupted'; reason: string; endpoint?: string}
-  /** No slot; to be tried again after `retryAfterMs`. */
+  /** No slot was available; to be retried after `retryAfterMs`. */
   | {kind: 'no-slot'; retryAfterMs: number}
-  /** Endpoints end under it; it may be sent after `retryAfterMs`. */
+  /**
+   * Quarantined because endpoints crash on it; may be sent after
+   * `retryAfterMs`.
+   */
   | {kind: 'held'; retryAfterMs: number}
-  /** Its route is not there any more. */
+  /** The route does not exist any more. */
   | {kind: 'no-route'};
 
 /** Runs items. */
@@ -54,7 +60,6 @@
   run(task: ItemTask, signal: AbortSignal): Promise<ItemOutcome>;
 }
 
-/** What the runner works with. */
 export interface ItemRunnerDependencies extends SlotRunDependencies {
   clock: Clock;
   routing: RoutingTable;
@@ -66,27 +71,30 @@
 const OK = 200;
 
 /**
- * Least time before its due time that an item is said to be due, in ms: one
- * that is overdue goes first, and still has time for a run.
+ * Minimum time from now to the deadline that the dispatcher receives for an
+ * item, in ms. An overdue item goes first, and must still have time for a run.
  */
-const OVERDUE_PATIENCE_MS = 10_000;
+const MIN_TIME_TO_DEADLINE_MS = 10_000;
 
-/** Starts idle. */
 export function createItemRunner(
   dependencies: ItemRunnerDependencies,
 ): ItemRunner {
   const {clock, routing, dispatch, protocol, quarantine, getIncarnation} =
     dependencies;
-  const work = createItemWork();
+  const workEstimator = createItemWork();
 
-  /** Ends a run when the item is stopped or its slot is wanted. */
-  function createRunEnd(signal: AbortSignal, yieldSignal: AbortSignal) {
+  /**
+   * Creates a signal that aborts a run when the item is stopped, when its slot
+   * has to be yielded, or after the maximum duration of a run.
+   */
+  function createRunSignal(signal: AbortSignal, yieldSignal: AbortSignal) {
     const controller = new AbortController();
-    const abort = () => controller.abort(new Error('the item was stopped'));
+    const abort = () =>
+      controller.abort(new Error('the run of the item was stopped'));
     if (signal.aborted || yieldSignal.aborted) abort();
     signal.addEventListener('abort', abort, {once: true});
     yieldSignal.addEventListener('abort', abort, {once: true});
-    const cancelTimer = clock.schedule(ITEM_RUN_MS, abort);
+    const cancelTimer = clock.schedule(MAX_ITEM_RUN_MS, abort);
     return {
       signal: controller.signal,
       close() {
@@ -102,17 +110,17 @@
     route: Route,
     signal: AbortSignal,
   ) {
-    const {item, account, tries, dueAt, avoid, text} = task;
+    const {item, account, attempts, dueAt, avoid, text} = task;
     return dispatch.acquireSlot({
-      requestId: `${item.id}.${tries}.${getIncarnation().slice(-6)}`,
+      requestId: `${item.id}.${attempts}.${getIncarnation().slice(-6)}`,
       service: chooseTarget(route, item.id),
       account,
       weight: 1,
       workClass: 'batch',
       model: '',
-      deadline: Math.max(dueAt, clock.now() + OVERDUE_PATIENCE_MS),
+      deadline: Math.max(dueAt, clock.now() + MIN_TIME_TO_DEADLINE_MS),
       dueAt,
-      workMs: work.estimateRest(text.pieces.length),
+      workMs: workEstimator.estimateRest(text.pieces.length),
       promptTokens: item.promptTokens,
       answerTokens: item.answerTokens,
       prefixHashes: [],
@@ -133,7 +141,10 @@
     };
   }
 
-  /** Route and content as they are now: it may have waited for its slot. */
+  /**
+   * Checks route and quarantine again and releases the slot when the item may
+   * not run: both may have changed while the item waited for its slot.
+   */
   function checkStillAllowed(slot: Slot, {route}: ItemTask, content: string) {
     const isRouted = routing.findRouteByName(route) !== undefined;
     try {
@@ -146,7 +157,7 @@
     return isRouted;
   }
 
-  function noteEnd(
+  function notifyQuarantine(
     {item}: ItemTask,
     content: string,
     ended: RunEnd,
@@ -171,7 +182,7 @@
     const slot = await acquireSlot(task, route, signal);
     if (!checkStillAllowed(slot, task, content)) return {kind: 'no-route'};
     const {text} = task;
-    const end = createRunEnd(signal, slot.yieldSignal);
+    const runSignal = createRunSignal(signal, slot.yieldSignal);
     const reader = createItemTextReader(text);
     const piecesBefore = text.pieces.length;
     const startedAt = clock.now();
@@ -180,23 +191,24 @@
       slot,
       {
         ...request,
-        remainingMs: ITEM_RUN_MS,
+        remainingMs: MAX_ITEM_RUN_MS,
         resumeAfter: text.lastId,
-        silenceMs: ITEM_SILENCE_MS,
+        silenceMs: ITEM_SILENCE_TIMEOUT_MS,
       },
       buildListener(reader.push),
-      end.signal,
+      runSignal.signal,
     );
-    end.close();
-    const gained = text.pieces.length - piecesBefore;
-    work.noteRun(gained, clock.now() - startedAt);
+    runSignal.close();
+    const newPieces = text.pieces.length - piecesBefore;
+    workEstimator.noteRun(newPieces, clock.now() - startedAt);
     const outcome = decideOutcome(
       ended,
       reader.hasRest(),
       slot.endpoint.address,
     );
-    noteEnd(task, content, ended, outcome);
-    if (outcome.kind === 'complete') work.noteWhole(text.pieces.length);
+    notifyQuarantine(task, content, ended, outcome);
+    if (outcome.kind === 'complete')
+      workEstimator.noteWhole(text.pieces.length);
     return outcome;
   }
 
@@ -213,11 +225,15 @@
     if (protocol.isPoison(ended.status)) return {kind: 'poison'};
     if (ended.status !== OK) {
       if (ended.status >= 500) return {kind: 'failed', endpoint};
-      const reason = `answered with ${ended.status}`;
+      const reason = `endpoint responded with status ${ended.status}`;
       return {kind: 'interrupted', reason, endpoint};
     }
     if (!isCutShort) return {kind: 'complete'};
-    return {kind: 'interrupted', reason: 'cut short', endpoint};
+    return {
+      kind: 'interrupted',
+      reason: 'stream ended within an event',
+      endpoint,
+    };
   }
 
   return {
--- a/src/instance/bundles/item_states.ts
+++ b/src/instance/bundles/item_states.ts
@@ -1,4 +1,7 @@
-/** Where each item of one bundle stands; what of them to commit or to keep. */
+/**
+ * State of each item of one bundle, the results to commit and the progress to
+ * store.
+ */
 import type {BundleItem, ItemResult} from './bundle_types.js';
 import {MAX_COMMIT_BYTES, MAX_RESULTS_PER_COMMIT} from './constants.js';
 import type {BundleProgress} from './item_progress.js';
@@ -10,16 +13,17 @@
   item: BundleItem;
   state: 'waiting' | 'running' | 'ended' | 'listed';
   text: ItemText;
-  tries: number;
-  /** Answers of endpoints that ran it and failed. */
+  attempts: number;
+  /** Responses of endpoints that ran the item and failed. */
   failures: number;
+  /** Endpoints that the next attempt avoids. */
   avoid: string[];
-  /** Monotonic time before which it is not tried again. */
+  /** Monotonic time before which the item is not retried. */
   notBefore: number;
   result?: ItemResult;
 }
 
-/** Items that go on from what `progress` says was done of them. */
+/** Creates the states of all items; items in `progress` continue from there. */
 export function createItemStates(
   items: readonly BundleItem[],
   listed: readonly number[],
@@ -30,50 +34,50 @@
     item,
     state: 'waiting',
     text: decodeText(progress[index]),
-    tries: 0,
+    attempts: 0,
     failures: 0,
     avoid: [],
     notBefore: 0,
   }));
   for (const index of listed) states[index].state = 'listed';
   for (const state of states) {
-    const isWhole = progress[state.index]?.isWhole;
-    if (!isWhole || state.state === 'listed') continue;
+    const isComplete = progress[state.index]?.isWhole;
+    if (!isComplete || state.state === 'listed') continue;
     state.state = 'ended';
     state.result = buildCompleteResult(state);
   }
   return states;
 }
 
-/** Ended items that fit into one transaction. */
+/** Selects ended items whose results fit into one transaction. */
 export function selectForCommit(states: readonly ItemState[]): ItemState[] {
-  const chosen: ItemState[] = [];
+  const selected: ItemState[] = [];
   let bytes = 0;
   for (const state of states) {
     if (state.state !== 'ended') continue;
     bytes += state.result!.text.length;
     const isFull =
-      chosen.length >= MAX_RESULTS_PER_COMMIT || bytes > MAX_COMMIT_BYTES;
-    if (chosen.length > 0 && isFull) break;
-    chosen.push(state);
+      selected.length >= MAX_RESULTS_PER_COMMIT || bytes > MAX_COMMIT_BYTES;
+    if (selected.length > 0 && isFull) break;
+    selected.push(state);
   }
-  return chosen;
+  return selected;
 }
 
-/** What was done of the items that are not listed. */
+/** Collects the progress of the items that are not listed. */
 export function collectProgress(states: readonly ItemState[]): BundleProgress {
-  const kept = states.filter(
+  const started = states.filter(
     ({state, text}) => state !== 'listed' && text.lastId !== undefined,
   );
   return Object.fromEntries(
-    kept.map(({index, text, result}) => [
+    started.map(({index, text, result}) => [
       index,
       {...text, isWhole: result?.state === 'complete'},
     ]),
   );
 }
 
-/** The result of an item whose text is whole. */
+/** The result of an item whose text is complete. */
 export function buildCompleteResult({item, text}: ItemState): ItemResult {
   return {itemId: item.id, state: 'complete', text: text.pieces.join('\n')};
 }
--- a/src/instance/bundles/item_text.ts
+++ b/src/instance/bundles/item_text.ts
@@ -1,34 +1,33 @@
 /**
- * The text of one item as it comes in, over as many runs as it takes. A run
- * that takes up the stream goes on after the last whole event; half an event
- * that was cut off is dropped, and a run that starts at the wrong event is
- * broken off before anything of it is kept.
+ * Collects the text of one item from the event streams of one or more runs. A
+ * run that resumes the stream continues after the last complete event. A
+ * partial event at the end of a run is dropped. A run that starts at the wrong
+ * event is aborted before any of its events are added.
  */
 import {createParser} from 'eventsource-parser';
 import type {EventSourceMessage} from 'eventsource-parser';
 
-/** What is at hand of an item's text. */
+/** The text of an item as far as it was received. */
 export interface ItemText {
-  /** Id of the last whole event. */
+  /** Id of the last complete event. */
   lastId: string | undefined;
-  /** Data of the whole events. */
+  /** Data of the complete events. */
   pieces: string[];
 }
 
-/** Takes in the bytes of one run. */
+/** Reads the bytes of one run. */
 export interface ItemTextReader {
-  /** Throws when the events do not go on after those at hand. */
+  /** Throws when an event does not follow the last one by its id. */
   push(chunk: Buffer): void;
-  /** Whether the run stopped in the middle of an event. */
+  /** Whether the bytes so far end within an event. */
   hasRest(): boolean;
 }
 
-/** Nothing yet. */
 export function createItemText(): ItemText {
   return {lastId: undefined, pieces: []};
 }
 
-/** Adds the events of one run to `text`. */
+/** Creates a reader that adds the events of one run to `text`. */
 export function createItemTextReader(text: ItemText): ItemTextReader {
   let rest = '';
   const decoder = new TextDecoder();
@@ -50,9 +49,9 @@
   };
 }
 
-/** Ids are whole numbers that grow by one. */
+/** Event ids are integers that increase by one. */
 function checkNext(lastId: string | undefined, id: string | undefined) {
-  if (id === undefined) throw new Error('an event has no id');
+  if (id === undefined) throw new Error('event has no id');
   if (lastId === undefined) return;
   if (Number(id) !== Number(lastId) + 1) {
     throw new Error(`event ${id} follows event ${lastId}`);
--- a/src/instance/bundles/open_bundles.ts
+++ b/src/instance/bundles/open_bundles.ts
@@ -1,6 +1,7 @@
 /**
- * The open bundles of the fleet, by the rows that say who works on each, and which
- * of them lost their owner. Only the instances that watch follow the rows.
+ * Tracks the open bundles of the fleet by their owner rows, and finds those
+ * whose owner is gone. Only a few selected instances, the watchers, follow
+ * these rows.
  */
 import type {CollectionWatch} from '../../stores/collections.js';
 import type {ListedInstance} from '../../stores/instance_list.js';
@@ -10,34 +11,32 @@
 import {decodeOwnerRow, OPEN_BUNDLES} from './bundle_rows.js';
 import type {OwnerFields} from './bundle_types.js';
 
-/** A bundle whose owner is gone, and the instance that is to take it over. */
+/** A bundle whose owner is gone, with the instance that has to take it over. */
 export interface Orphan {
   id: string;
-  /** Of the ownership that has ended. */
+  /** Epoch of the ownership that has ended. */
   epoch: number;
-  heir: ListedInstance;
+  successor: ListedInstance;
 }
 
-/** Open bundles as this instance knows them: none unless it watches. */
+/** The open bundles that this instance knows: none unless it is a watcher. */
 export interface OpenBundles {
   count(): number;
-  /** Begins or ceases to watch, by who lives now. */
+  /** Starts or stops watching, depending on which instances are live. */
   refresh(): void;
-  /** Ownership by this run of the process. */
-  buildOwn(epoch: number): OwnerFields;
+  /** Builds an ownership by this incarnation. */
+  buildOwnership(epoch: number): OwnerFields;
   isOwn(owner: OwnerFields): boolean;
-  /** Bundles without an owner that lives. */
+  /** Bundles without a live owner. */
   listOrphans(): Orphan[];
 }
 
-/** What the open bundles are known by. */
 export interface OpenBundlesDependencies {
   watch: CollectionWatch;
   members: Members;
   directory: EntryDirectory;
 }
 
-/** Starts without watching. */
 export function createOpenBundles({
   watch,
   members,
@@ -46,7 +45,7 @@
   const open = new Map<string, OwnerFields>();
   let stopWatching: (() => void) | undefined;
 
-  function note(id: string, owner: OwnerFields | undefined) {
+  function noteOwner(id: string, owner: OwnerFields | undefined) {
     if (owner) open.set(id, owner);
     else open.delete(id);
   }
@@ -55,11 +54,11 @@
     return watch.watch(OPEN_BUNDLES, {
       reset(rows) {
         open.clear();
-        for (const row of rows) note(row.key.sort, decodeOwnerRow(row));
+        for (const row of rows) noteOwner(row.key.sort, decodeOwnerRow(row));
       },
       change(changes) {
         for (const {key, row} of changes) {
-          note(key.sort, row && decodeOwnerRow(row));
+          noteOwner(key.sort, row && decodeOwnerRow(row));
         }
       },
     });
@@ -75,8 +74,9 @@
     if (isOwn(owned)) return false;
     if (owner === '' || owner === members.self.name) return true;
     const registered = directory.findIncarnation(owner);
-    // Runs sort by their start. A run later than the registered one has only
-    // not come to register yet: it accepts bundles from its first moment.
+    // Incarnations sort by their start. An incarnation later than the
+    // registered one has not registered yet: it accepts bundles immediately
+    // after its start.
     if (registered === undefined || incarnation < registered) return true;
     const isLive = members.listLive().some(({name}) => name === owner);
     return !isLive && directory.hasMajority(members);
@@ -96,7 +96,7 @@
       stopWatching = undefined;
       open.clear();
     },
-    buildOwn(epoch) {
+    buildOwnership(epoch) {
       const {name: owner, incarnation} = members.self;
       return {owner, incarnation, epoch};
     },
@@ -107,7 +107,7 @@
         .map(([id, {epoch}]) => ({
           id,
           epoch,
-          heir: members.rankInstances(id)[0],
+          successor: members.rankInstances(id)[0],
         })),
   };
 }
--- a/src/instance/bundles/token_allowance.test.ts
+++ b/src/instance/bundles/token_allowance.test.ts
@@ -1,4 +1,4 @@
-/** The bound on an account's waiting tokens, over instances and their ends. */
+/** Tests the limit on an account's waiting tokens with several instances. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createVirtualClock} from '../../common/virtual_clock.js';
@@ -33,7 +33,7 @@
   };
 }
 
-/** Instances share a store; each has an allowance of its own. */
+/** Instances share a store; each has its own allowance. */
 function createFleet() {
   const clock = createVirtualClock();
   const memory = createMemoryPlatform(clock);
@@ -57,10 +57,10 @@
   await store.commitResults(bundle!, [0], [result]);
 }
 
-describe('the bound on waiting tokens', () => {
-  // Two instances are handed a bundle of one account at the same moment; each
-  // sees room for its own, and together they pass the bound.
-  it('holds when instances accept at the same moment', async () => {
+describe('limit on waiting tokens', () => {
+  // Instances receive bundles of one account at the same time. Each finds room
+  // for its own bundle, and together they exceed the limit.
+  it('holds when instances accept concurrently', async () => {
     const fleet = createFleet();
     const outcomes = await Promise.all(
       ['a', 'b', 'c'].map(id => fleet.join().enter(makeRequest(id, 50))),
@@ -68,7 +68,7 @@
     assert.deepEqual(outcomes.sort(), ['entered', 'entered', 'full']);
   });
 
-  it('counts a bundle once that is handed in again', async () => {
+  it('counts a bundle once when it is submitted again', async () => {
     const fleet = createFleet();
     for (let times = 0; times < 3; times++) {
       const outcome = await fleet.join().enter(makeRequest('a', 60));
@@ -76,7 +76,7 @@
     }
   });
 
-  it('has room again for what is listed, and when a bundle ends', async () => {
+  it('frees the tokens of listed items and of ended bundles', async () => {
     const fleet = createFleet();
     const one = fleet.join();
     await one.enter(makeRequest('a', 80));
@@ -89,9 +89,9 @@
     assert.equal(await one.enter(makeRequest('c', 60)), 'entered');
   });
 
-  // An instance dies between entering a bundle and writing it. Its tokens would
-  // be missing from the account's bound for good.
-  it('forgets a bundle that was never written, but not at once', async () => {
+  // An instance crashes between entering a bundle and writing it. Its tokens
+  // would count against the account's limit permanently.
+  it('removes a bundle that was never written after a grace period', async () => {
     const fleet = createFleet();
     await fleet.join().enter(makeRequest('lost', 80));
     assert.equal(await fleet.join().enter(makeRequest('a', 60)), 'full');
@@ -99,9 +99,9 @@
     assert.equal(await fleet.join().enter(makeRequest('a', 60)), 'entered');
   });
 
-  // A configuration sets a bound on a route that had none: what is open then
-  // was never entered.
-  it('counts what was accepted before there was a bound', async () => {
+  // A configuration sets a limit on a route that had none. The bundles that are
+  // open then were never entered.
+  it('counts bundles that were accepted before there was a limit', async () => {
     const fleet = createFleet();
     await fleet.accept('before', 70);
     assert.equal(await fleet.join().enter(makeRequest('a', 40)), 'full');
--- a/src/instance/bundles/token_allowance.ts
+++ b/src/instance/bundles/token_allowance.ts
@@ -1,14 +1,17 @@
 /**
- * Holds the tokens that an account has waiting on a route within the route's
- * bound, over all instances.
+ * Limits the tokens that an account has waiting on a route, across all
+ * instances.
  *
- * Failure it answers: instances that each look at what is open, and accept,
- * accept together what none would alone; an instance that dies after it has
- * counted a bundle, or before, leaves a count that is wrong for good. So a
- * bundle is entered in the account's one row before it is written, on condition
- * that the row has not changed since it was read, and it is never taken out by
- * whoever is done with it: whoever finds the row full looks at the bundles
- * themselves. One that was entered and never written drops out then.
+ * If each instance checked the open bundles and then accepted, instances would
+ * together accept more than the limit. If instances incremented and decremented
+ * a counter, an instance that crashes around the update would leave the count
+ * wrong permanently.
+ *
+ * Therefore a bundle is entered in the account's row before it is written, by a
+ * conditional write that fails if the row has changed since it was read. An
+ * instance that has finished a bundle never removes the entry. An instance that
+ * finds the row full reads the bundles themselves and updates the entries; a
+ * bundle that was entered and never written is removed then.
  */
 import type {SharedTime} from '../../common/shared_time.js';
 import {
@@ -22,7 +25,7 @@
 import type {StoredBundle} from './bundle_rows.js';
 import type {BundleStore} from './bundle_store.js';
 import {decodeListed} from './bundle_types.js';
-import {MAX_CHANGE_TRIES, MAX_WAITING_BUNDLES} from './constants.js';
+import {MAX_CHANGE_ATTEMPTS, MAX_WAITING_BUNDLES} from './constants.js';
 
 /** A bundle that is about to be accepted. */
 export interface AllowanceRequest {
@@ -30,31 +33,32 @@
   account: string;
   route: string;
   tokens: number;
-  /** Bound of the account on the route, in tokens. */
+  /** Limit for the account on the route. */
   maxTokens: number;
 }
 
-/** Decides whether bundles fit. Throws StoreError. */
+/** Decides whether bundles fit into the limit. Throws StoreError. */
 export interface TokenAllowance {
-  /** Enters a bundle; entering it again changes nothing. */
+  /** Enters a bundle; idempotent. */
   enter(request: AllowanceRequest): Promise<'entered' | 'full'>;
 }
 
-/** What the allowance works with. */
 export interface TokenAllowanceDependencies {
   store: Pick<BundleStore, 'find' | 'fetchWaiting' | 'putWaiting'>;
   time: Pick<SharedTime, 'read'>;
-  /** Ids of the bundles that are open in the fleet. */
+  /** Lists the ids of all open bundles of the fleet. */
   listOpen: () => Promise<string[]>;
 }
 
-/** Keeps nothing in memory. */
+/** Creates an allowance that has no state in memory. */
 export function createTokenAllowance({
   store,
   time,
   listOpen,
 }: TokenAllowanceDependencies): TokenAllowance {
-  /** What was accepted before the route had a bound. */
+  /**
+   * Collects the open bundles that were accepted before the route had a limit.
+   */
   async function collectOpen(
     {account, route}: AllowanceRequest,
     now: number,
@@ -75,13 +79,13 @@
     waiting: WaitingBundles,
     now: number,
   ): Promise<WaitingBundles> {
-    const looked = await Promise.all(
+    const updated = await Promise.all(
       Object.entries(waiting).map(async ([id, entry]) => {
-        const seen = toView(await store.find(id));
-        return [id, updateEntry(entry, seen, now)] as const;
+        const view = toView(await store.find(id));
+        return [id, updateEntry(entry, view, now)] as const;
       }),
     );
-    const left = looked.filter(([, entry]) => entry !== undefined);
+    const left = updated.filter(([, entry]) => entry !== undefined);
     return Object.fromEntries(left) as Record<string, WaitingBundle>;
   }
 
@@ -90,16 +94,16 @@
     now: number,
   ): Promise<'entered' | 'full' | 'conflict'> {
     const {id, account, route, tokens, maxTokens} = request;
-    const held = await store.fetchWaiting(account, route);
-    let waiting = held?.waiting ?? (await collectOpen(request, now));
-    const isCrowded = Object.keys(waiting).length >= MAX_WAITING_BUNDLES;
-    if (isCrowded || !isFitting(waiting, id, tokens, maxTokens)) {
+    const stored = await store.fetchWaiting(account, route);
+    let waiting = stored?.waiting ?? (await collectOpen(request, now));
+    const isRowFull = Object.keys(waiting).length >= MAX_WAITING_BUNDLES;
+    if (isRowFull || !isFitting(waiting, id, tokens, maxTokens)) {
       waiting = await refreshEntries(waiting, now);
     }
     if (!isFitting(waiting, id, tokens, maxTokens)) return 'full';
     if (Object.keys(waiting).length >= MAX_WAITING_BUNDLES) return 'full';
     const entry = {tokens, left: tokens, at: now};
-    return (await store.putWaiting(account, route, held?.version, {
+    return (await store.putWaiting(account, route, stored?.version, {
       ...waiting,
       [id]: entry,
     }))
@@ -111,7 +115,7 @@
     async enter(request) {
       const now = time.read();
       if (now === undefined) throw new StoreError('no time is known', 'none');
-      for (let attempt = 0; attempt < MAX_CHANGE_TRIES; attempt++) {
+      for (let attempt = 0; attempt < MAX_CHANGE_ATTEMPTS; attempt++) {
         const outcome = await writeEntry(request, now);
         if (outcome !== 'conflict') return outcome;
       }
