--- a/src/instance/batch/abort.ts
+++ b/src/instance/batch/abort.ts
@@ -1,7 +1,7 @@
-/** Waiting that ends early when it is no longer wanted. */
+/** A delay that can be aborted. */
 import type {Clock} from '../../common/clock.js';
 
-/** Resolves after `delayMs`, or at once when `signal` aborts. */
+/** Resolves after `delayMs`, or immediately when `signal` aborts. */
 export function waitUntilAborted(
   clock: Clock,
   delayMs: number,
--- a/src/instance/batch/answers.ts
+++ b/src/instance/batch/answers.ts
@@ -1,17 +1,20 @@
-/** Files and jobs in the shapes that the OpenAI libraries read. */
-import type {FileRecord, Held, JobRecord} from './records.js';
+/** Builds responses for files and jobs in the format of the OpenAI API. */
+import type {FileRecord, StoredRecord, JobRecord} from './records.js';
 
 const BATCH_PREFIX = 'batch-';
 const OUTPUT_PREFIX = 'file-output-';
 
-/** Items of a job by outcome. */
+/** Numbers of items of a job by outcome. */
 export interface ItemCounts {
   completed: number;
   failed: number;
 }
 
-/** A file, as callers see it. */
-export function buildFileAnswer({id, record}: Held<FileRecord>): object {
+/** Builds the response for a file. */
+export function buildFileAnswer({
+  id,
+  record,
+}: StoredRecord<FileRecord>): object {
   return {
     id,
     object: 'file',
@@ -24,8 +27,11 @@
   };
 }
 
-/** The output of a completed job, as a file. */
-export function buildOutputFileAnswer({id, record}: Held<JobRecord>): object {
+/** Builds the response for the output file of a completed job. */
+export function buildOutputFileAnswer({
+  id,
+  record,
+}: StoredRecord<JobRecord>): object {
   return {
     id: toOutputFileId(id),
     object: 'file',
@@ -38,9 +44,9 @@
   };
 }
 
-/** A job, as callers see it. */
+/** Builds the response for a job. */
 export function buildJobAnswer(
-  {id, record}: Held<JobRecord>,
+  {id, record}: StoredRecord<JobRecord>,
   {completed, failed}: ItemCounts,
 ): object {
   const endedAt = toSeconds(record.endedAt);
@@ -65,12 +71,12 @@
   };
 }
 
-/** Id under which the output of a job is read as a file. */
+/** Converts a job id to the id of its output file. */
 export function toOutputFileId(jobId: string): string {
   return OUTPUT_PREFIX + jobId.slice(BATCH_PREFIX.length);
 }
 
-/** The job whose output a file id names; undefined for other files. */
+/** Finds the job id of an output file id; undefined for other files. */
 export function findJobOfOutput(fileId: string): string | undefined {
   if (!fileId.startsWith(OUTPUT_PREFIX)) return undefined;
   return BATCH_PREFIX + fileId.slice(OUTPUT_PREFIX.length);
--- a/src/instance/batch/batch.test.ts
+++ b/src/instance/batch/batch.test.ts
@@ -1,4 +1,4 @@
-/** Bundles worked by a fleet on virtual time, without faults. */
+/** Tests batch with a fleet on virtual time, without faults. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -14,7 +14,7 @@
 import {buildItemsName} from './records.js';
 
 describe('batch bundles', () => {
-  it('come back whole, in order, through any instance', async () => {
+  it('return complete outputs, in order, through any instance', async () => {
     const fleet = await createBatchFleet();
     const first = await fleet.startInstance('entry-1');
     await fleet.startInstance('entry-2');
@@ -27,7 +27,7 @@
     assert.deepEqual([...new Set(workers)].sort(), ['entry-1', 'entry-2']);
   });
 
-  it('are readable after every instance was replaced', async () => {
+  it('have readable outputs after every instance was replaced', async () => {
     const fleet = await createBatchFleet();
     const first = await fleet.startInstance('entry-1');
     const ids = makeIds(9);
@@ -40,7 +40,7 @@
     assert.equal(await readOutput(second, jobId), before);
   });
 
-  it('give an output only when it is whole', async () => {
+  it('have an output only when it is complete', async () => {
     const fleet = await createBatchFleet();
     const first = await fleet.startInstance('entry-1');
     const jobId = await sendJob(first, makeIds(9));
@@ -49,7 +49,7 @@
   });
 
   describe('uploads', () => {
-    it('name the lines at fault and leave nothing behind', async () => {
+    it('report the invalid lines and leave no objects', async () => {
       const fleet = await createBatchFleet();
       const {batch} = await fleet.startInstance('entry-1');
       const lines = makeBundle(makeIds(12)).split('\n');
@@ -74,7 +74,7 @@
       });
     });
 
-    it('of the same items are one file', async () => {
+    it('of the same items create one file', async () => {
       const fleet = await createBatchFleet();
       const {batch} = await fleet.startInstance('entry-1');
       const text = makeBundle(makeIds(9));
@@ -89,7 +89,7 @@
       );
     });
 
-    it('are not deleted under an open job', async () => {
+    it('are not deleted while a job on them is open', async () => {
       const fleet = await createBatchFleet();
       const {batch} = await fleet.startInstance('entry-1');
       const file = await batch.files.upload(
@@ -107,7 +107,7 @@
   });
 
   describe('jobs', () => {
-    it('resent with the same key are found, with other content refused', async () => {
+    it('are found when resent, and refused with other content', async () => {
       const fleet = await createBatchFleet();
       const first = await fleet.startInstance('entry-1');
       const second = await fleet.startInstance('entry-2');
@@ -117,7 +117,7 @@
       assert.equal((await first.batch.jobs.list('gate')).length, 1);
     });
 
-    it('without a key are named by their content', async () => {
+    it('without a key get an id derived from their content', async () => {
       const fleet = await createBatchFleet();
       const first = await fleet.startInstance('entry-1');
       const keyless = {idempotencyKey: ''};
@@ -135,10 +135,10 @@
       });
     });
 
-    it('stop within two seconds of a cancel, on all instances', async () => {
-      // The caller cancels and sees no further item run. Both instances have
-      // items in flight; each sees within a poll that the job is no longer
-      // among the open ones, and aborts them.
+    it('stop on all instances within 2 seconds of a cancel', async () => {
+      // Both instances have items in progress when the caller cancels. Each
+      // detects with the next poll that the job is not open any more, and
+      // aborts its items. No further items may run.
       const fleet = await createBatchFleet({itemMs: 60_000});
       const first = await fleet.startInstance('entry-1');
       await fleet.startInstance('entry-2');
@@ -166,7 +166,7 @@
     });
   });
 
-  it('give back on shutdown what is begun, for others to go on from', async () => {
+  it('release segments on shutdown, so that others continue them', async () => {
     const fleet = await createBatchFleet({segmentItems: 100, itemMs: 1000});
     const first = await fleet.startInstance('entry-1');
     const ids = makeIds(100);
--- a/src/instance/batch/batch.ts
+++ b/src/instance/batch/batch.ts
@@ -1,6 +1,6 @@
 /**
- * Batch bundles: files of items, jobs over them, and their whole outputs, all
- * of it in the platform's table and object store; and the work on them.
+ * Batch bundles: files of items, jobs that run them, and the outputs of
+ * completed jobs. All are stored in the platform's table and object store.
  */
 import {setMaxListeners} from 'node:events';
 import type {Clock} from '../../common/clock.js';
@@ -25,27 +25,26 @@
 import {createSegmentWriter} from './segment_writer.js';
 import {createServiceWorker, type ServiceWorker} from './service_worker.js';
 
-/** Which services' jobs this instance works. */
+/** Tells for which services this instance runs jobs. */
 export interface PoolOwnership {
-  /** Names of services of whose pools this instance is the dispatcher. */
+  /** Lists the services for whose pools this instance is the dispatcher. */
   listOwnServices(now: number): string[];
 }
 
-/** What the callers' interface and the supervisor ask of batch. */
+/** The interface of batch for the HTTP routes and the supervisor. */
 export interface Batch extends StateSource {
   files: FileStore;
   jobs: JobStore;
   segments: SegmentStore;
   metrics: BatchMetrics;
-  /** The objects of results one after another. */
+  /** Reads result objects in order. */
   readParts(parts: readonly ResultPart[]): AsyncGenerator<Buffer>;
-  /** Looks for work and begins it; a StoreError is counted and met again. */
+  /** Finds and starts work. Counts a StoreError; the next call retries. */
   poll(): Promise<void>;
-  /** Begins nothing more, commits what is done and gives segments back. */
+  /** Starts no more items, commits finished ones and releases all segments. */
   drain(): Promise<void>;
 }
 
-/** Everything batch works with. */
 export interface BatchDependencies {
   clock: Clock;
   platform: Platform;
@@ -53,15 +52,15 @@
   execution: Execution;
   limits: Limits;
   metrics: Metrics;
-  /** The lease of this instance, which is renewed elsewhere. */
+  /** The lease of this instance, which another module renews. */
   lease: InstanceLease;
-  /** Left out: all instances work every service. */
+  /** If not given, all instances run the jobs of every service. */
   ownership?: PoolOwnership;
-  /** Items of a segment, at the most; left out: SEGMENT_ITEMS. */
+  /** Maximum number of items in a segment; MAX_SEGMENT_ITEMS if not given. */
   segmentItems?: number;
 }
 
-/** Starts without work; `poll` is called again and again. */
+/** Creates batch without work; `poll` has to be called periodically. */
 export function createBatch(dependencies: BatchDependencies): Batch {
   const {clock, platform, configuration, lease} = dependencies;
   const metrics = createBatchMetrics(dependencies.metrics);
@@ -78,7 +77,7 @@
   const leaseWatch = createOwnershipWatch(lease);
   const owners = createOwnerCheck(platform.table);
   const drain = new AbortController();
-  // Each item that waits listens to it.
+  // Each waiting item adds a listener.
   setMaxListeners(0, drain.signal);
   const workers = new Map<string, ServiceWorker>();
 
@@ -90,8 +89,8 @@
   }
 
   function getWorker(service: string): ServiceWorker {
-    const held = workers.get(service);
-    if (held) return held;
+    const existing = workers.get(service);
+    if (existing) return existing;
     const worker = createServiceWorker(service, {
       clock,
       platform,
@@ -101,7 +100,7 @@
       runSegment,
       metrics,
       incarnation: lease.incarnation,
-      checkOwnerOver: owners.check,
+      checkOwnerExpired: owners.check,
       findOwnership: () => leaseWatch.find(clock.now()),
       drain: drain.signal,
     });
@@ -115,7 +114,9 @@
     await worker.acquireSegments();
   }
 
-  /** A service that is no longer this instance's is let go once it is idle. */
+  /**
+   * Removes idle workers of services that this instance does not run any more.
+   */
   function removeIdleWorkers(own: readonly string[]) {
     for (const [service, worker] of workers) {
       if (!own.includes(service) && !worker.isRunning()) {
@@ -124,7 +125,7 @@
     }
   }
 
-  async function runQuietly(task: () => Promise<void>) {
+  async function runCountingStoreErrors(task: () => Promise<void>) {
     try {
       await task();
     } catch (thrown) {
@@ -146,11 +147,11 @@
       const own = listOwnServices();
       removeIdleWorkers(own);
       for (const service of own) {
-        await runQuietly(() => pollService(service));
+        await runCountingStoreErrors(() => pollService(service));
       }
       for (const [service, worker] of workers) {
         if (own.includes(service)) continue;
-        await runQuietly(() => worker.poll(clock.now()));
+        await runCountingStoreErrors(() => worker.poll(clock.now()));
       }
     },
     async drain() {
--- a/src/instance/batch/batch_access.ts
+++ b/src/instance/batch/batch_access.ts
@@ -1,4 +1,4 @@
-/** Who may submit, and what it costs: shared by the routes of batch. */
+/** Authentication, target lookup and rate limit for the batch routes. */
 import {drawToken} from '../limits/draw_token.js';
 import {RouterError} from '../../common/errors.js';
 import {authenticateCaller, findServiceOfModel} from '../callers/admission.js';
@@ -6,7 +6,7 @@
 import type {HttpExchange} from '../callers/http_exchange.js';
 import type {TargetFinder} from './bundle_check.js';
 
-/** The account whose key came with the request; throws RouterError. */
+/** Finds the account by the key of the request; throws RouterError. */
 export function authenticateAccount(
   exchange: HttpExchange,
   {keys, clock}: CallerDependencies,
@@ -14,7 +14,7 @@
   return authenticateCaller(exchange.request, keys, clock.now()).account;
 }
 
-/** Finds the services that the account may send items to. */
+/** Creates a finder of the services to which the account may send items. */
 export function createTargetFinder(
   account: string,
   {configuration}: CallerDependencies,
@@ -29,8 +29,8 @@
 }
 
 /**
- * Draws the one token that a submission costs, however many items it holds;
- * docs/design/batch.md tells why. Throws RouterError.
+ * Draws the 1 token that a submission costs, regardless of its number of items;
+ * docs/design/batch.md explains why. Throws RouterError.
  */
 export async function drawSubmission(
   account: string,
--- a/src/instance/batch/batch_failures.test.ts
+++ b/src/instance/batch/batch_failures.test.ts
@@ -1,4 +1,4 @@
-/** What callers see when instances, the store or its answers are lost. */
+/** Tests batch when instances, the store or its responses are lost. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {RouterError} from '../../common/errors.js';
@@ -14,12 +14,12 @@
 import {assertWholeOnce, readOutput} from '../../testing/batch_oracle.js';
 import {LEASE_DURATION_MS} from '../members/instance_lease.js';
 import {cancelJob} from './job_routes.js';
-import {CAREFUL_GROUP_ITEMS} from './constants.js';
+import {GROUP_ITEMS_BY_LOSSES} from './constants.js';
 
 const PAST_LEASE_MS = LEASE_DURATION_MS + 10_000;
 const NOT_IDEMPOTENT = '\n[batch]\nidempotent = no\n';
 
-/** Each failure is met in every order, and twice in a row. */
+/** Tests a failure in each order, and each order twice. */
 function describeOrders<Order extends string>(
   name: string,
   orders: readonly Order[],
@@ -27,25 +27,24 @@
 ) {
   describe(name, () => {
     for (const order of orders) {
-      for (const round of ['once', 'again']) {
+      for (const round of ['first run', 'second run']) {
         it(`${order}, ${round}`, () => run(order));
       }
     }
   });
 }
 
-function assertRunsAtMost(fleet: BatchFleet, most: number) {
+function assertRunsAtMost(fleet: BatchFleet, maxRuns: number) {
   for (const [id, runs] of fleet.runs) {
-    assert.ok(runs.length <= most, `${id} ran ${runs.length} times`);
+    assert.ok(runs.length <= maxRuns, `${id} ran ${runs.length} times`);
   }
 }
 
 describe('batch under failures', () => {
-  // The caller has its acknowledgement and waits for the output. The instance
-  // that gave it is lost at once. What it acknowledged is in the store alone,
-  // so another instance finds the job there and completes it.
+  // An instance is lost immediately after it acknowledged a job. The job is
+  // only in the store, where another instance has to find and complete it.
   describeOrders(
-    'instance lost just after acknowledging',
+    'instance lost immediately after acknowledging a job',
     ['before it claimed a segment', 'after it claimed segments'] as const,
     async order => {
       const fleet = await createBatchFleet();
@@ -61,33 +60,33 @@
     },
   );
 
-  // The owner dies with items in flight. Its lease is not renewed; another
-  // instance sees its row unchanged for a lease, expires it, claims the
-  // segments with the next epoch and runs their items again.
+  // The owner crashes with items in progress. Another instance sees that the
+  // lease was not renewed for its duration, expires it, claims the segments
+  // with the next epoch and runs their items again.
   describeOrders(
-    'owner dying with items in flight',
-    ['its successor runs already', 'its successor starts later'] as const,
+    'owner crashes with items in progress',
+    ['successor is already running', 'successor starts later'] as const,
     async order => {
       const fleet = await createBatchFleet();
       const first = await fleet.startInstance('entry-1');
       const ids = makeIds(100);
       const jobId = await sendJob(first, ids);
-      const runsAlready = order === 'its successor runs already';
-      if (runsAlready) await fleet.startInstance('entry-2');
+      const isRunning = order === 'successor is already running';
+      if (isRunning) await fleet.startInstance('entry-2');
       await fleet.advance(3500);
       first.process.kill();
-      if (!runsAlready) await fleet.startInstance('entry-2');
+      if (!isRunning) await fleet.startInstance('entry-2');
       await fleet.advance(PAST_LEASE_MS + 60_000);
       await assertWholeOnce(fleet, jobId, ids);
       assertRunsAtMost(fleet, 2);
     },
   );
 
-  // The owner is paused for longer than its lease, another takes over, and
-  // the first wakes and commits. Its commit names its old incarnation, whose
-  // row says expired, so the table refuses it; reads stay the same.
+  // The owner is paused for longer than its lease, another instance takes over,
+  // and the first owner resumes and commits. The takeover has changed the
+  // segment's row, so the table refuses the commit. The output must not change.
   describeOrders(
-    'owner paused past its lease that then commits',
+    'owner commits after a pause longer than its lease',
     ['before its successor has ended', 'after its successor ended'] as const,
     async order => {
       const fleet = await createBatchFleet({itemMs: 4000});
@@ -112,11 +111,11 @@
     },
   );
 
-  // The owner is paused while its result is on the way to the object store,
-  // its successor commits its own, and then the late object arrives. It has
-  // another name, since names carry the epoch, so reads stay the same.
+  // The owner is paused while it writes a result object, its successor commits
+  // its own, and then the late object is written. Its name differs, because
+  // names contain the epoch, so the output must not change.
   describeOrders(
-    'late result object',
+    'late write of a result object',
     ['after its successor ended', 'twice'] as const,
     async order => {
       const fleet = await createBatchFleet();
@@ -124,13 +123,13 @@
       const first = await fleet.startInstance('entry-1');
       const jobId = await sendJob(first, ids);
       const paused: string[] = [];
-      const most = order === 'twice' ? 2 : 1;
+      const maxPauses = order === 'twice' ? 2 : 1;
       fleet.hooks.onObjectWrite = ({name: writer, process}) => {
-        if (paused.length >= most || paused.includes(writer)) return;
+        if (paused.length >= maxPauses || paused.includes(writer)) return;
         paused.push(writer);
         process.pause();
       };
-      for (let successor = 2; successor <= most + 1; successor++) {
+      for (let successor = 2; successor <= maxPauses + 1; successor++) {
         await fleet.advance(5000);
         await fleet.startInstance(`entry-${successor}`);
         await fleet.advance(PAST_LEASE_MS);
@@ -138,7 +137,7 @@
       await fleet.advance(PAST_LEASE_MS);
       const last = fleet.instances.at(-1)!;
       const before = await readOutput(last, jobId);
-      assert.equal(paused.length, most);
+      assert.equal(paused.length, maxPauses);
       for (const {process} of fleet.instances) process.resume();
       await fleet.advance(30_000);
       assert.equal(await readOutput(last, jobId), before);
@@ -146,18 +145,18 @@
     },
   );
 
-  describe('answer lost after the write took effect', () => {
-    // The caller is told that the outcome is unknown and sends the same again,
-    // through the same instance or another. It is given the file and the job
-    // that the first sending made.
+  describe('response lost after the write took effect', () => {
+    // The caller learns that the outcome is unknown and resends the request to
+    // the same or another instance. It has to receive the file and the job that
+    // the first request created.
     describeOrders(
       'of a file and a job',
-      ['resent to the same instance', 'resent to another'] as const,
+      ['resent to the same instance', 'resent to another instance'] as const,
       async order => {
         const fleet = await createBatchFleet();
         const first = await fleet.startInstance('entry-1');
         const second = await fleet.startInstance('entry-2');
-        const other = order === 'resent to another' ? second : first;
+        const other = order === 'resent to another instance' ? second : first;
         const ids = makeIds(10);
         const {answersToLoseOf} = fleet.platform.faults;
         answersToLoseOf['files#gate'] = 1;
@@ -175,8 +174,8 @@
       },
     );
 
-    // The caller sees nothing of it. The owner reads back what it wrote: its
-    // claim, its commit and its ending of the job are in the table, once.
+    // The owner reads back what it wrote. Its claim, its commit and the end of
+    // the job have to be in the table once, and the caller notices nothing.
     describeOrders(
       'of a segment, its results and the end of a job',
       ['claim', 'commit', 'result object', 'job end'] as const,
@@ -198,14 +197,15 @@
         const left = Object.values(answersToLoseOf);
         assert.ok(
           left.every(count => count === 0),
-          'each answer was lost',
+          'each response was lost',
         );
       },
     );
 
-    // Items may not run twice. The answer to the intent to run a group is lost;
-    // the owner finds its intent in the row and runs the group. Taking it for
-    // another's would end items as may-have-run that never ran.
+    // Items may not run twice, and the response to the intent to run a group is
+    // lost. The owner finds its intent in the row and runs the group. If it
+    // mistook the intent for another owner's, items that never ran would end as
+    // may-have-run.
     describeOrders(
       'of an intent',
       ['the first', 'the second'] as const,
@@ -223,7 +223,7 @@
         const {transact} = fleet.platform.table;
         fleet.platform.table.transact = operations => {
           const isSegment = operations[0].key.partition === segments;
-          // The claim is the first, the first intent the second.
+          // The first write is the claim, the second the first intent.
           if (isSegment) writes++;
           const wanted = order === 'the first' ? 2 : 4;
           if (isSegment && writes === wanted) answersToLoseOf[segments] = 1;
@@ -237,11 +237,11 @@
       },
     );
 
-    // The caller cancels, is told that the outcome is unknown, and cancels
-    // again: the job is cancelled, and nothing of it runs on.
+    // The caller cancels, learns that the outcome is unknown, and cancels
+    // again. The job has to be cancelled, and none of its items may continue.
     describeOrders(
       'of a cancel',
-      ['sent again to the same', 'sent again to another'] as const,
+      ['resent to the same instance', 'resent to another instance'] as const,
       async order => {
         const fleet = await createBatchFleet();
         const first = await fleet.startInstance('entry-1');
@@ -250,7 +250,7 @@
         await fleet.advance(1500);
         fleet.platform.faults.answersToLoseOf['work#drum-reader'] = 1;
         await assert.rejects(cancelJob(first.batch, 'gate', jobId, 1));
-        const other = order === 'sent again to another' ? second : first;
+        const other = order === 'resent to another instance' ? second : first;
         const job = await cancelJob(other.batch, 'gate', jobId, 2);
         assert.equal(job.record.state, 'cancelled');
         assert.equal(job.record.endedAt, 1);
@@ -262,12 +262,12 @@
     );
   });
 
-  // A cancel and the commit of the last results meet; each store call takes
-  // 10 ms. The table orders them: either the job is completed and whole and
-  // the cancel finds it so, or it is cancelled and nothing is committed after.
+  // A cancel and the commit of the last results are concurrent; each store call
+  // takes 10 ms. The table orders them: either the job is completed and the
+  // cancel finds it so, or it is cancelled and nothing is committed afterwards.
   describeOrders(
-    'cancel racing commit',
-    ['cancel first', 'commit first', 'end first'] as const,
+    'cancel concurrent with commit',
+    ['cancel first', 'commit first', 'job end first'] as const,
     async order => {
       const fleet = await createBatchFleet({itemMs: 1000});
       const first = await fleet.startInstance('entry-1');
@@ -275,8 +275,12 @@
       const jobId = await sendJob(first, ids);
       await fleet.advance(1000);
       const [[run]] = [...fleet.runs.values()];
-      const leads = {'cancel first': -30, 'commit first': 5, 'end first': 30};
-      const startsAt = run.startedAt + 1000 + leads[order];
+      const offsetsMs = {
+        'cancel first': -30,
+        'commit first': 5,
+        'job end first': 30,
+      };
+      const startsAt = run.startedAt + 1000 + offsetsMs[order];
       await fleet.advance(startsAt - 50 - fleet.clock.now());
       fleet.platform.faults.slowMs = 10;
       await fleet.advance(50);
@@ -291,7 +295,7 @@
       );
       assert.equal(
         record.state,
-        order === 'end first' ? 'completed' : 'cancelled',
+        order === 'job end first' ? 'completed' : 'cancelled',
       );
       await fleet.advance(30_000);
       if (record.state === 'completed') {
@@ -304,10 +308,10 @@
     },
   );
 
-  // The caller's sending and its resend reach two instances at once. One
-  // commits the job, the other finds it there; both answer with the same one.
+  // The caller's request and its resend reach two instances at the same time.
+  // One commits the job, the other finds it; both have to return the same job.
   describeOrders(
-    'resend racing acceptance',
+    'resend concurrent with acceptance',
     ['first instance first', 'second instance first'] as const,
     async order => {
       const fleet = await createBatchFleet();
@@ -332,12 +336,12 @@
     },
   );
 
-  // The store is down for longer than every lease while items are in flight.
-  // Owners keep what they have and commit it when the store is back; nobody
-  // judges a lease by time that the outage took, so nothing is run again.
+  // The store is down for longer than every lease while items are in progress.
+  // Owners retain their results and commit them when the store has recovered.
+  // The time of the outage must not expire a lease, so no item runs again.
   describeOrders(
-    'store down in the middle of a job',
-    ['all of it', 'the table alone', 'the objects alone'] as const,
+    'store down during a job',
+    ['table and objects', 'table only', 'objects only'] as const,
     async order => {
       const fleet = await createBatchFleet({itemMs: 2000});
       const first = await fleet.startInstance('entry-1');
@@ -346,10 +350,11 @@
       const jobId = await sendJob(first, ids);
       await fleet.advance(15_000);
       const {faults} = fleet.platform;
-      if (order === 'all of it') faults.down = true;
-      if (order === 'the table alone') faults.downServices = ['table'];
-      if (order === 'the objects alone') faults.downServices = ['objects'];
-      // It comes back between two renewals: others look at leases first.
+      if (order === 'table and objects') faults.down = true;
+      if (order === 'table only') faults.downServices = ['table'];
+      if (order === 'objects only') faults.downServices = ['objects'];
+      // The store recovers between two renewals, so that other instances read
+      // the leases before their owners renew them.
       await fleet.advance(4 * LEASE_DURATION_MS + 1500);
       faults.down = false;
       faults.downServices = [];
@@ -359,13 +364,14 @@
     },
   );
 
-  // The store is down for nearly a lease while items run on. One owner misses
-  // its renewal; the other renewed just before, so its own lease is held when
-  // the store is back. If it judged the first one's lease by the time of the
-  // outage, it would take its segments and run all of their items again.
+  // The store is down for nearly the duration of a lease while items continue.
+  // One owner misses its renewal. The other renewed just before, so it still
+  // holds its lease when the store has recovered. If it counted the outage as
+  // time without renewal, it would take over the segments of the first and run
+  // all items again.
   describeOrders(
-    'store down for nearly a lease',
-    ['all of it', 'the table alone'] as const,
+    'store down for nearly the duration of a lease',
+    ['table and objects', 'table only'] as const,
     async order => {
       const fleet = await createBatchFleet({itemMs: 100_000, slots: 80});
       const first = await fleet.startInstance('entry-1');
@@ -373,10 +379,10 @@
       const jobId = await sendJob(first, ids);
       await fleet.advance(8000);
       await fleet.startInstance('entry-2');
-      // Renewals: the first's at 10 s and 20 s, the second's at 18 s.
+      // The first instance renews at 10 s and 20 s, the second at 18 s.
       await fleet.advance(10_500);
       const {faults} = fleet.platform;
-      if (order === 'all of it') faults.down = true;
+      if (order === 'table and objects') faults.down = true;
       else faults.downServices = ['table'];
       await fleet.advance(26_000);
       faults.down = false;
@@ -387,21 +393,21 @@
     },
   );
 
-  // One item kills whoever runs it. Each loss makes the next owner run smaller
-  // groups, until the item is alone in one; then it ends as an error line, and
-  // all others have their answers.
+  // One item crashes each instance that runs it. After each loss the next owner
+  // runs smaller groups, until the item is alone in its group. It then ends as
+  // an error line, and all other items have responses.
   describeOrders(
-    'item that kills its instance',
+    'item that crashes its instance',
     ['first of its segment', 'last of its segment'] as const,
     async order => {
       const fleet = await createBatchFleet({segmentItems: 100, slots: 200});
       const ids = makeIds(100);
       const poison = order === 'first of its segment' ? 'i0' : 'i99';
-      let deaths = 0;
+      let crashes = 0;
       fleet.hooks.onBegin = (customId, {process}) => {
         if (customId !== poison) return;
         process.kill();
-        deaths++;
+        crashes++;
       };
       const jobId = await sendJob(await fleet.startInstance('entry-0'), ids);
       for (let replacement = 1; replacement < 10; replacement++) {
@@ -415,22 +421,23 @@
         failed.map(({custom_id, error}) => [custom_id, error?.verdict]),
         [[poison, 'may-have-run']],
       );
-      assert.equal(deaths, CAREFUL_GROUP_ITEMS.length);
+      assert.equal(crashes, GROUP_ITEMS_BY_LOSSES.length);
     },
   );
 
-  // An item fails on every endpoint. After its attempts it ends as an error
-  // line; the bundle is returned whole.
+  // An item fails at every endpoint. After its attempts it ends as an error
+  // line, and the output is complete.
   describeOrders(
-    'item that fails each time',
-    ['as a failure', 'as a crash'] as const,
+    'item that fails at each attempt',
+    ['with an endpoint failure', 'with an unexpected error'] as const,
     async order => {
       const fleet = await createBatchFleet();
       const first = await fleet.startInstance('entry-1');
       const ids = makeIds(10);
       fleet.hooks.onBegin = customId => {
         if (customId !== 'i5') return;
-        if (order === 'as a crash') throw new TypeError('unexpected');
+        if (order === 'with an unexpected error')
+          throw new TypeError('unexpected');
         throw new RouterError('endpoint_failed', 'broken', {verdict: 'ran'});
       };
       const jobId = await sendJob(first, ids);
@@ -441,10 +448,10 @@
     },
   );
 
-  // Items may not run twice. Their owner dies; those that it may have begun
-  // end as may-have-run and are not run again, the others run once.
+  // Items may not run twice, and their owner crashes. Items that it may have
+  // started have to end as may-have-run and not run again; the others run once.
   describeOrders(
-    'owner of non-idempotent items dying',
+    'owner of non-idempotent items crashes',
     ['in the first group', 'in a later group'] as const,
     async order => {
       const fleet = await createBatchFleet({
@@ -470,11 +477,12 @@
     },
   );
 
-  // Endpoints turn items away again and again while online work holds them.
-  // That costs an item none of its attempts, and it is answered in the end.
+  // Endpoints repeatedly refuse items while they are busy with online requests.
+  // This must not count towards an item's attempts, and the item succeeds in
+  // the end.
   describeOrders(
-    'items that find no room',
-    ['not run', 'perhaps run'] as const,
+    'items refused by busy endpoints',
+    ['not run', 'possibly run'] as const,
     async order => {
       const fleet = await createBatchFleet();
       const first = await fleet.startInstance('entry-1');
@@ -492,11 +500,12 @@
     },
   );
 
-  describe('two at once', () => {
-    // The owner dies while the store is down for longer than its lease. When
-    // the store is back its successor waits out a whole lease and takes over.
+  describe('two failures at once', () => {
+    // The owner crashes while the store is down for longer than its lease.
+    // After the store has recovered, the successor waits for the duration of a
+    // lease and takes over.
     describeOrders(
-      'an owner dying and the store down',
+      'an owner crash and a store outage',
       ['the owner first', 'the store first'] as const,
       async order => {
         const fleet = await createBatchFleet();
@@ -523,11 +532,11 @@
       },
     );
 
-    // The owner is paused past its lease with a commit under way whose answer
-    // is lost; its successor loses answers too. Either result is committed
-    // once, and reads stay the same.
+    // The owner is paused beyond its lease during a commit whose response is
+    // lost, or responses to its successor are lost. Each result has to be
+    // committed once, and the output must not change.
     describeOrders(
-      'a paused owner and lost answers',
+      'a paused owner and lost responses',
       ['of the owner', 'of its successor'] as const,
       async order => {
         const fleet = await createBatchFleet({itemMs: 2000});
@@ -551,9 +560,10 @@
       },
     );
 
-    // Two owners die one after the other while a cancel comes in between.
+    // Two owners crash one after the other, and the job is cancelled between
+    // the crashes or after them.
     describeOrders(
-      'two owners dying and a cancel',
+      'two owner crashes and a cancel',
       ['cancel between', 'cancel at the end'] as const,
       async order => {
         const fleet = await createBatchFleet({itemMs: 5000});
--- a/src/instance/batch/batch_metrics.ts
+++ b/src/instance/batch/batch_metrics.ts
@@ -1,8 +1,8 @@
-/** What batch counts. */
+/** Counters of batch. */
 import type {Metrics} from '../../common/metrics.js';
 import type {JobState} from './records.js';
 
-/** What can happen to a segment on this instance. */
+/** Events of a segment on this instance. */
 export type SegmentEvent =
   | 'claimed'
   | 'taken_over'
@@ -12,10 +12,10 @@
   | 'lost'
   | 'crashed';
 
-/** What can happen to an item on this instance. */
+/** Events of an item on this instance. */
 export type ItemEvent = 'begun' | 'succeeded' | 'failed' | 'retried';
 
-/** Counters of batch. */
+/** Increments the counters of batch. */
 export interface BatchMetrics {
   countItem(event: ItemEvent): void;
   countSegment(event: SegmentEvent): void;
@@ -23,7 +23,6 @@
   countStoreFailure(): void;
 }
 
-/** Registers the counters. */
 export function createBatchMetrics(metrics: Metrics): BatchMetrics {
   const items = metrics.createCounter(
     'batch_items_total',
--- a/src/instance/batch/batch_session.test.ts
+++ b/src/instance/batch/batch_session.test.ts
@@ -1,4 +1,4 @@
-/** A whole session with bundles over HTTP, compared with a golden file. */
+/** Tests a session with bundles over HTTP against a golden file. */
 import assert from 'node:assert/strict';
 import {mkdtempSync, readFileSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -24,7 +24,7 @@
 import {startInstance, type Instance} from '../instance.js';
 import {giveKey} from '../keys/key_directory.js';
 
-describe('a session with bundles', () => {
+describe('batch session over HTTP', () => {
   const platform = createMemoryPlatform();
   let engine: EngineServer;
   let instance: Instance;
@@ -49,7 +49,9 @@
     await engine.stop();
   });
 
-  /** Sends a call, keeps what was answered, and returns it parsed if it can be. */
+  /**
+   * Sends a request, records the response and returns its body if it is JSON.
+   */
   async function sendCall(
     method: 'GET' | 'POST' | 'DELETE',
     path: string,
@@ -82,7 +84,7 @@
     while ((await client.get(jobId)).status === 'in_progress');
   }
 
-  it('goes as recorded', async () => {
+  it('matches the golden file', async () => {
     const bundle = makeBundle(['a', 'b']);
     await sendCall('POST', '/v1/files', buildForm(bundle, 'fine-tune'));
     await sendCall('POST', '/v1/files', `${bundle}\n{"custom_id":"c"}\nno`);
@@ -133,7 +135,7 @@
     engine.options.betweenTokensMs = 1;
   });
 
-  it('is driven by the client of the jobs commands', async () => {
+  it('works with the client of the jobs commands', async () => {
     const directory = mkdtempSync(join(tmpdir(), 'mulberry-'));
     const path = join(directory, 'bundle.jsonl');
     writeFileSync(path, makeBundle(['x', 'y']));
--- a/src/instance/batch/bundle_check.test.ts
+++ b/src/instance/batch/bundle_check.test.ts
@@ -19,7 +19,7 @@
 }
 
 describe('digest set', () => {
-  it('takes as many ids as the largest bundle has for different', () => {
+  it('has no collision among as many ids as the largest bundle has', () => {
     const digests = createDigestSet();
     for (let index = 0; index < 290_000; index++) {
       assert.ok(digests.add(`item-${index}`), `item-${index}`);
@@ -29,7 +29,7 @@
 });
 
 describe('line reader', () => {
-  it('finds the same lines wherever the stream is cut', async () => {
+  it('finds the same lines wherever the stream is split', async () => {
     const bytes = Buffer.from('\uFEFFa é漢\r\n\n  \nb\nc');
     for (let size = 1; size <= bytes.length; size++) {
       const chunks: Buffer[] = [];
@@ -44,7 +44,7 @@
     }
   });
 
-  it('refuses a line or a file that is too long, before holding it', async () => {
+  it('refuses a line or file that is too long before buffering it', async () => {
     const long = [Buffer.from('a\n'), Buffer.alloc(60, 0x62)];
     await assert.rejects(collectLines([...long, long[1]]), {
       code: 'body_too_large',
--- a/src/instance/batch/bundle_check.ts
+++ b/src/instance/batch/bundle_check.ts
@@ -1,4 +1,4 @@
-/** Checks the lines of a bundle one by one as they stream in. */
+/** Validates the lines of a bundle one by one while it is uploaded. */
 import {createHash} from 'node:crypto';
 import * as z from 'zod';
 import {RouterError} from '../../common/errors.js';
@@ -6,7 +6,7 @@
 import {MAX_REPORTED_FAULTS} from './constants.js';
 import type {NumberedLine} from './line_reader.js';
 
-/** One line of a bundle. */
+/** Schema of one line of a bundle. */
 export const batchItemSchema = z.strictObject({
   custom_id: z.string().min(1).max(512),
   method: z.literal('POST'),
@@ -17,7 +17,7 @@
 /** An item as submitted. */
 export type BatchItem = z.infer<typeof batchItemSchema>;
 
-/** What the first item fixes for all others. */
+/** What all items have in common, determined by the first item. */
 export interface BundleTarget {
   service: string;
   endpoint: string;
@@ -27,16 +27,20 @@
 /** Finds the target of an item's model; throws RouterError without one. */
 export type TargetFinder = (model: string) => Omit<BundleTarget, 'endpoint'>;
 
-/** Takes lines in order and collects faults. */
+/** Validates lines in order and collects faults. */
 export interface BundleCheck {
-  /** Whether the line is a good item. */
+  /** Whether the line is a valid item. */
   checkLine(line: NumberedLine): boolean;
-  /** Throws RouterError naming the lines at fault; the target otherwise. */
+  /**
+   * Returns the target; throws RouterError with the faults if there are any.
+   */
   finish(): BundleTarget;
-  /** Whether so many faults were found that reading on tells no more. */
+  /**
+   * Whether MAX_REPORTED_FAULTS faults were found, so that reading can stop.
+   */
   isFull(): boolean;
   hasFaults(): boolean;
-  /** Undefined before the first good line. */
+  /** Undefined before the first line with a known model. */
   getTarget(): BundleTarget | undefined;
 }
 
@@ -45,7 +49,7 @@
   message: string;
 }
 
-/** Starts the check of one bundle. */
+/** Creates the check of one bundle. */
 export function createBundleCheck(findTarget: TargetFinder): BundleCheck {
   const faults: LineFault[] = [];
   const seenIds = createDigestSet();
@@ -72,7 +76,7 @@
     return undefined;
   }
 
-  function describeThrown(text: string): string | undefined {
+  function findFaultMessage(text: string): string | undefined {
     try {
       return findFault(text);
     } catch (thrown) {
@@ -84,12 +88,12 @@
   return {
     checkLine({number, text}) {
       items++;
-      const message = describeThrown(text);
+      const message = findFaultMessage(text);
       if (message !== undefined) faults.push({line: number, message});
       return message === undefined;
     },
     finish() {
-      if (faults.length > 0) throw refuseLines(faults);
+      if (faults.length > 0) throw buildLinesError(faults);
       if (target) return target;
       throw new RouterError('invalid_request', 'the file holds no items', {
         verdict: 'not-run',
@@ -102,7 +106,7 @@
   };
 }
 
-/** The item of a line, or what is wrong with it. */
+/** Parses a line; returns a message if it is not a valid item. */
 function parseItem(text: string): BatchItem | string {
   let value: unknown;
   try {
@@ -117,13 +121,13 @@
   return path === '' ? issue.message : `${path}: ${issue.message}`;
 }
 
-/** Never 0, which marks a free slot. */
+/** Computes a digest that is never 0, as 0 marks a free slot. */
 function computeDigest(text: string): bigint {
   const digest = createHash('sha256').update(text).digest();
   return digest.readBigUInt64LE() || 1n;
 }
 
-function refuseLines(faults: readonly LineFault[]): RouterError {
+function buildLinesError(faults: readonly LineFault[]): RouterError {
   const described = faults.map(({line, message}) => `line ${line}: ${message}`);
   return new RouterError('invalid_request', described.join('; '), {
     verdict: 'not-run',
@@ -132,11 +136,11 @@
 }
 
 /**
- * A set of 64-bit digests in 16 bytes an entry at most: the ids of 290,000
- * items as strings would take a tenth of an instance's memory. Two different
- * ids of one bundle share a digest of SHA-256 once in about 400 million bundles
- * of that size; murmur hashes under two seeds did so at the 126,650th of ids
- * that count up, which refused a good bundle.
+ * Creates a set of 64-bit digests, which takes 16 to 32 bytes per entry. The
+ * ids of 290,000 items as strings would take a tenth of an instance's memory.
+ * With SHA-256, two different ids of a bundle of that size have the same digest
+ * in about 1 of 400 million bundles. Murmur hashes with two seeds collided at
+ * the 126,650th of sequentially numbered ids, and a valid bundle was refused.
  */
 export function createDigestSet() {
   const initialCapacity = 1024;
@@ -162,7 +166,7 @@
   }
 
   return {
-    /** Adds `text`; false when it was there. */
+    /** Adds `text`; false if it was already in the set. */
     add(text: string): boolean {
       const digest = computeDigest(text);
       const added = insertDigest(slots, digest);
--- a/src/instance/batch/exactly_once.test.ts
+++ b/src/instance/batch/exactly_once.test.ts
@@ -1,11 +1,12 @@
 /**
- * Random sequences of failures against an oracle: whatever happens, once all
- * is healed a job is whole with each item answered once, or cancelled for
- * good; what was read stays; and items that may not run twice do not.
+ * Tests batch with random sequences of failures against an oracle. Instances
+ * start, crash, pause, resume and drain, the store goes down and responses are
+ * lost in any order between the acknowledgement of a job and its output.
  *
- * The caller sees a job acknowledged and an output. In between instances come,
- * die, pause, drain and wake, the store goes down and answers are lost in any
- * order. The record of runs at the engine and repeated reads are the oracle.
+ * After recovery, a job has to be either complete with one result for each
+ * item, or cancelled permanently. An output that was read must not change, and
+ * items that may not run twice must run at most once. The oracle is the record
+ * of runs at the engine and repeated reads of the output.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -21,12 +22,12 @@
 import {cancelJob} from './job_routes.js';
 
 const IDS = makeIds(24);
-/** `FUZZ_RUNS=2000 FUZZ_SEED=7` looks further than every run of the tests does. */
+/** Set FUZZ_RUNS and FUZZ_SEED (e.g. 2000 and 7) for a longer search. */
 const RUNS = Number(process.env.FUZZ_RUNS ?? 30);
 const SEED = Number(process.env.FUZZ_SEED ?? 20260105);
-const HEALING_MS = 2 * LEASE_DURATION_MS + 60_000;
+const RECOVERY_MS = 2 * LEASE_DURATION_MS + 60_000;
 
-/** One thing that happens; `at` picks an instance. */
+/** One event; `at` is the index of an instance. */
 type Event =
   | {kind: 'start' | 'kill' | 'pause' | 'resume' | 'drain'; at: number}
   | {kind: 'advance'; ms: number}
@@ -80,7 +81,7 @@
   },
 );
 
-/** What happens by kind of event. */
+/** Applies an event, by its kind. */
 const EVENT_HANDLERS: {
   [Kind in Event['kind']]: (
     fleet: BatchFleet,
@@ -115,16 +116,16 @@
   async cancel(fleet, {at}, jobId) {
     const instance = fleet.instances[at];
     if (!instance?.process.isRunning()) return;
-    // Its outcome may be unknown to its caller; the oracle reads it.
+    // The caller may not learn the outcome; the oracle reads it.
     void cancelJob(instance.batch, 'gate', jobId, 1).catch(() => {});
   },
 };
 
-async function resetFaults(fleet: BatchFleet) {
+async function restoreFleet(fleet: BatchFleet) {
   fleet.platform.faults.down = false;
   fleet.platform.faults.answersToLose = 0;
   const last = await fleet.startInstance('entry-last');
-  await fleet.advance(HEALING_MS);
+  await fleet.advance(RECOVERY_MS);
   return last;
 }
 
@@ -140,7 +141,7 @@
     ) => Promise<void>;
     await handle(fleet, event, jobId);
   }
-  const last = await resetFaults(fleet);
+  const last = await restoreFleet(fleet);
   const {record} = await last.batch.jobs.find('gate', jobId);
   assert.notEqual(record.state, 'in_progress');
   if (record.state === 'completed') {
@@ -156,7 +157,7 @@
 describe('exactly once under random failures', () => {
   const sequences = fc.array(eventArbitrary, {minLength: 3, maxLength: 14});
 
-  it('completes each job whole or cancels it for good', async () => {
+  it('completes each job fully or cancels it permanently', async () => {
     await fc.assert(
       fc.asyncProperty(sequences, async events => {
         await checkSequence(events, '');
--- a/src/instance/batch/file_routes.ts
+++ b/src/instance/batch/file_routes.ts
@@ -1,4 +1,4 @@
-/** The callers' interface to files. */
+/** HTTP routes of files. */
 import {pipeline} from 'node:stream/promises';
 import type {CallerDependencies} from '../callers/callers.js';
 import {REQUEST_ID_HEADER} from '../callers/constants.js';
@@ -15,7 +15,7 @@
   drawSubmission,
 } from './batch_access.js';
 import {openOutput} from './output_access.js';
-import {withStoreFailure} from './store_failure.js';
+import {convertStoreErrors} from './store_failure.js';
 import {openUpload} from './upload_body.js';
 
 async function handleUpload(
@@ -25,7 +25,7 @@
   const {batch, clock} = dependencies;
   const account = authenticateAccount(exchange, dependencies);
   const {filename, content} = await openUpload(exchange.request);
-  const file = await withStoreFailure(() =>
+  const file = await convertStoreErrors(() =>
     batch.files.upload(
       {
         account,
@@ -46,7 +46,7 @@
   dependencies: CallerDependencies,
 ) {
   const account = authenticateAccount(exchange, dependencies);
-  const files = await withStoreFailure(() =>
+  const files = await convertStoreErrors(() =>
     dependencies.batch.files.list(account),
   );
   respondJson(exchange, 200, {
@@ -64,7 +64,7 @@
   const account = authenticateAccount(exchange, dependencies);
   const id = parseId(exchange);
   const jobId = findJobOfOutput(id);
-  const answer = await withStoreFailure(async () =>
+  const answer = await convertStoreErrors(async () =>
     jobId === undefined
       ? buildFileAnswer(await batch.files.find(account, id))
       : buildOutputFileAnswer((await openOutput(batch, account, jobId)).job),
@@ -78,7 +78,7 @@
 ) {
   const account = authenticateAccount(exchange, dependencies);
   const id = parseId(exchange);
-  await withStoreFailure(() => dependencies.batch.files.delete(account, id));
+  await convertStoreErrors(() => dependencies.batch.files.delete(account, id));
   respondJson(exchange, 200, {id, object: 'file', deleted: true});
 }
 
@@ -94,7 +94,7 @@
     return;
   }
   const {files} = dependencies.batch;
-  const {record} = await withStoreFailure(() => files.find(account, id));
+  const {record} = await convertStoreErrors(() => files.find(account, id));
   await streamContent(exchange, record.bytes, files.readContent(record));
 }
 
@@ -105,15 +105,15 @@
   account: string,
   jobId: string,
 ): Promise<void> {
-  const {job, content} = await withStoreFailure(() =>
+  const {job, content} = await convertStoreErrors(() =>
     openOutput(batch, account, jobId),
   );
   await streamContent(exchange, job.record.outputBytes, content);
 }
 
 /**
- * The length is told first: a caller whose connection is cut off, or for whom
- * the store fails in the middle, sees that the content is not whole.
+ * Sends the content with its length in the headers, so that a caller detects an
+ * incomplete response when the connection is cut off or the store fails.
  */
 async function streamContent(
   {response, requestId}: HttpExchange,
@@ -136,7 +136,6 @@
   return exchange.path.split('/')[3];
 }
 
-/** Routes of files. */
 export const FILE_ROUTES: readonly Route[] = [
   {method: 'POST', pattern: /^\/v1\/files$/, handle: handleUpload},
   {method: 'GET', pattern: /^\/v1\/files$/, handle: handleList},
--- a/src/instance/batch/file_store.ts
+++ b/src/instance/batch/file_store.ts
@@ -1,6 +1,7 @@
 /**
- * Uploaded bundles. A file is named by its account and content, so that a
- * bundle sent twice is one file and whatever names it can be compared.
+ * Stores uploaded bundles. A file's id is derived from its account and content,
+ * so that a bundle that is uploaded twice is one file, and requests that
+ * contain the file id can be compared.
  */
 import {RouterError} from '../../common/errors.js';
 import {generateId, hashText} from '../../common/ids.js';
@@ -10,7 +11,11 @@
   type BundleTarget,
   type TargetFinder,
 } from './bundle_check.js';
-import {MAX_BUNDLE_BYTES, MAX_LINE_BYTES, MAX_RACES} from './constants.js';
+import {
+  MAX_BUNDLE_BYTES,
+  MAX_LINE_BYTES,
+  MAX_TRANSACTION_ATTEMPTS,
+} from './constants.js';
 import {readLines} from './line_reader.js';
 import {
   buildFileKey,
@@ -18,7 +23,7 @@
   fileRecordSchema,
   parseRow,
   type FileRecord,
-  type Held,
+  type StoredRecord,
 } from './records.js';
 import {
   createSegmentCutter,
@@ -27,28 +32,31 @@
   type SegmentCutter,
 } from './segment_cutter.js';
 
-/** What a caller sends. */
+/** A request to upload a bundle. */
 export interface FileUpload {
   account: string;
   filename: string;
   content: AsyncIterable<Buffer>;
   findTarget: TargetFinder;
-  /** Called once, when the first item has told the service. */
+  /** Called once, when the service is known from the first item. */
   authorize: (target: BundleTarget) => Promise<void>;
 }
 
-/** The uploaded bundles. All methods throw RouterError or StoreError. */
+/** Reads and changes files. All methods throw RouterError or StoreError. */
 export interface FileStore {
-  /** Checks and stores a bundle; the file is there when this resolves. */
-  upload(upload: FileUpload, wallNow: number): Promise<Held<FileRecord>>;
-  find(account: string, fileId: string): Promise<Held<FileRecord>>;
-  list(account: string): Promise<Held<FileRecord>[]>;
+  /** Validates and stores a bundle; resolves once it is stored. */
+  upload(
+    upload: FileUpload,
+    wallNow: number,
+  ): Promise<StoredRecord<FileRecord>>;
+  find(account: string, fileId: string): Promise<StoredRecord<FileRecord>>;
+  list(account: string): Promise<StoredRecord<FileRecord>[]>;
   delete(account: string, fileId: string): Promise<void>;
-  /** The items of a file, one to a line. */
+  /** Reads the items of a file, one per line. */
   readContent(file: FileRecord): AsyncGenerator<Buffer>;
 }
 
-/** Keeps files in the platform's table and object store. */
+/** Creates a store that uses the platform's table and object store. */
 export function createFileStore(
   {table, objects}: Platform,
   segmentItems?: number,
@@ -72,23 +80,26 @@
     let isAuthorized = false;
     const lines = readLines(upload.content, MAX_LINE_BYTES, MAX_BUNDLE_BYTES);
     for await (const line of lines) {
-      const isGood = check.checkLine(line);
+      const isValid = check.checkLine(line);
       const target = check.getTarget();
       if (target && !isAuthorized) await upload.authorize(target);
       isAuthorized ||= target !== undefined;
       if (check.isFull()) break;
-      if (isGood && !check.hasFaults()) await cutter.addLine(line.text);
+      if (isValid && !check.hasFaults()) await cutter.addLine(line.text);
     }
     return check.finish();
   }
 
-  /** The row, or the one that an earlier upload of the same items left. */
+  /**
+   * Writes a file's row, or returns that of an earlier upload of the same
+   * items.
+   */
   async function commitFile(
     record: FileRecord,
     fileId: string,
-  ): Promise<Held<FileRecord>> {
+  ): Promise<StoredRecord<FileRecord>> {
     const key = buildFileKey(record.account, fileId);
-    for (let race = 0; race < MAX_RACES; race++) {
+    for (let attempt = 0; attempt < MAX_TRANSACTION_ATTEMPTS; attempt++) {
       const found = await findFile(record.account, fileId);
       if (found) return found;
       const outcome = await table.transact([
@@ -96,7 +107,7 @@
       ]);
       if (outcome.kind === 'committed') return {id: fileId, version: 1, record};
     }
-    throw refuseRace();
+    throw buildConflictError();
   }
 
   return {
@@ -151,7 +162,7 @@
           condition: {kind: 'version', version: file.version},
         },
       ]);
-      if (outcome.kind === 'conflict') throw refuseRace();
+      if (outcome.kind === 'conflict') throw buildConflictError();
       await deleteItems(objects, file.record.upload, file.record.segments);
     },
     async *readContent({upload, segments}) {
@@ -164,8 +175,10 @@
   };
 }
 
-/** The caller raced with others; nothing was changed. */
-export function refuseRace(): RouterError {
+/**
+ * Builds the error for a conflict with concurrent changes; nothing was changed.
+ */
+export function buildConflictError(): RouterError {
   return new RouterError('conflict', 'others changed it meanwhile; ask again', {
     verdict: 'not-run',
     retryAfterMs: 1000,
--- a/src/instance/batch/item_failure.ts
+++ b/src/instance/batch/item_failure.ts
@@ -1,10 +1,13 @@
-/** What becomes of an item whose try failed. */
+/** Decides whether an item is retried after a failed attempt. */
 import {RouterError, type ErrorCode} from '../../common/errors.js';
 
 /**
- * - `final`: no other try can answer it.
- * - `attempt`: another try, at the cost of one of its attempts.
- * - `wait`: another try later, at no cost: the item is not at fault.
+ * How a failed attempt is handled:
+ *
+ * - `final`: the item ends with an error, because a retry cannot succeed.
+ * - `attempt`: the item is retried; counts towards its maximum attempts.
+ * - `wait`: the item is retried later without counting, as it did not cause the
+ *   failure.
  */
 export type FailureKind = 'final' | 'attempt' | 'wait';
 
@@ -37,13 +40,13 @@
   internal: 'attempt',
 };
 
-/** Refusals of an engine that another try may pass. */
+/** Status codes of an engine after which a retry may succeed. */
 const TRANSIENT_STATUSES = new Set([408, 425, 429, 503]);
 
 /**
- * Decides by what failed and whether the item may have run. A try proved not
- * to have run costs nothing: with online work before it in every queue, an
- * item may well wait out its deadline many times.
+ * Chooses by the error and by whether the item may have run. An attempt that
+ * certainly did not run is not counted: online requests come first in every
+ * queue, so an item may exceed its deadline many times while it waits.
  */
 export function chooseFailureKind(
   error: RouterError,
@@ -57,7 +60,9 @@
   return error.code === 'internal' ? 'attempt' : 'wait';
 }
 
-/** The failure of a try that an endpoint answered with another status than 200. */
+/**
+ * Builds the error of an attempt whose response has a status other than 200.
+ */
 export function buildStatusError(status: number): RouterError {
   const isTransient = TRANSIENT_STATUSES.has(status);
   return new RouterError(
@@ -67,7 +72,7 @@
   );
 }
 
-/** Whether an answer with this status is the item's own fault, and final. */
+/** Whether a response with this status is caused by the item and final. */
 export function isItemFault(status: number): boolean {
   return status >= 400 && status < 500 && !TRANSIENT_STATUSES.has(status);
 }
--- a/src/instance/batch/item_lines.ts
+++ b/src/instance/batch/item_lines.ts
@@ -1,22 +1,22 @@
-/** The lines of an output, one for each item. */
+/** Builds the lines of an output, one for each item. */
 import type {ErrorCode} from '../../common/errors.js';
 import type {Verdict} from '../../common/verdict.js';
 
 /** The final line of one item. */
 export interface ItemLine {
   text: string;
-  /** Whether the item was answered. */
+  /** Whether the item got a response with status 200. */
   succeeded: boolean;
 }
 
-/** Why an item has no answer. */
+/** Why an item has no response. */
 export interface ItemError {
   code: ErrorCode;
   message: string;
   verdict: Verdict;
 }
 
-/** The line of an item that an endpoint answered. */
+/** Builds the line of an item that got a response from an endpoint. */
 export function buildAnswerLine(
   customId: string,
   requestId: string,
@@ -28,7 +28,7 @@
   return {text: JSON.stringify(line), succeeded: status === 200};
 }
 
-/** The line of an item that ended without an answer. */
+/** Builds the line of an item that ended without a response. */
 export function buildErrorLine(
   customId: string,
   requestId: string,
--- a/src/instance/batch/item_runner.ts
+++ b/src/instance/batch/item_runner.ts
@@ -1,4 +1,4 @@
-/** Runs one item of a bundle to its final line. */
+/** Runs one item of a bundle with retries until it has its final line. */
 import {waitUntilAborted} from './abort.js';
 import {drawToken} from '../limits/draw_token.js';
 import type {Clock} from '../../common/clock.js';
@@ -18,7 +18,7 @@
 import type {Limits} from '../limits/limits.js';
 import type {BatchMetrics} from './batch_metrics.js';
 import type {BatchItem} from './bundle_check.js';
-import {MAX_RETRY_WAIT_MS, RETRY_WAIT_MS} from './constants.js';
+import {MAX_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS} from './constants.js';
 import {
   buildStatusError,
   chooseFailureKind,
@@ -36,22 +36,21 @@
   service: string;
   item: BatchItem;
   window: WorkWindow;
-  /** Aborted when the item must not go on: the job ended, the lease is lost. */
+  /** Aborted when the job ended or the lease is lost; the item is stopped. */
   stop: AbortSignal;
-  /** Aborted on shutdown: what no endpoint answers yet is given up. */
+  /** Aborted on shutdown; the item is stopped if no endpoint responds yet. */
   drain: AbortSignal;
 }
 
 /** Runs items. */
 export interface ItemRunner {
   /**
-   * The item's final line, or undefined when it was given up. `permit`
-   * is the leave for its first try; it is released in any case.
+   * Returns the item's final line, or undefined when it was stopped. `permit`
+   * is for the first attempt and is always released.
    */
   run(task: ItemTask, permit: Permit): Promise<ItemLine | undefined>;
 }
 
-/** What items run with. */
 export interface ItemRunnerDependencies {
   clock: Clock;
   configuration: Configuration;
@@ -60,7 +59,6 @@
   metrics: BatchMetrics;
 }
 
-/** Ties items to the execution of requests. */
 export function createItemRunner({
   clock,
   configuration,
@@ -76,7 +74,7 @@
     });
   }
 
-  /** Only where the service document makes items count as requests. */
+  /** Draws a token if the service counts items against the request rate. */
   async function drawItemToken(task: ItemTask, service: VersionedDocument) {
     const {batch, account} = service.document;
     const accountLimits = account[task.account];
@@ -85,11 +83,11 @@
     await drawToken(limits, bucket, accountLimits);
   }
 
-  async function runTry(
+  async function runAttempt(
     task: ItemTask,
     permit: Permit,
     requestId: string,
-    watch: TryWatch,
+    watch: AttemptWatch,
   ): Promise<ItemLine> {
     const service = findService(task);
     await drawItemToken(task, service);
@@ -110,8 +108,9 @@
       answerTokens: getAnswerTokens(item),
       prefixHashes: computeRequestPrefixes(item.body),
       idempotent: service.document.batch.idempotent,
-      // An accepted job completes also when the key it came with is withdrawn
-      // later: it was the account's, and the account may hold other keys.
+      // An accepted job is completed even if the key of its request is
+      // withdrawn later, because the job belongs to the account, which may have
+      // other keys.
       authorize: () => {},
       signal: watch.signal,
     };
@@ -124,32 +123,32 @@
 
   async function waitBeforeRetry(
     task: ItemTask,
-    wait: number,
+    minDelayMs: number,
     error: RouterError,
   ) {
-    const over = AbortSignal.any([task.stop, task.drain]);
+    const stopOrDrain = AbortSignal.any([task.stop, task.drain]);
     const delay = Math.max(
-      wait,
-      Math.min(error.retryAfterMs ?? 0, MAX_RETRY_WAIT_MS),
+      minDelayMs,
+      Math.min(error.retryAfterMs ?? 0, MAX_RETRY_DELAY_MS),
     );
-    await waitUntilAborted(clock, delay, over);
+    await waitUntilAborted(clock, delay, stopOrDrain);
   }
 
   return {
     async run(task, firstPermit) {
       let permit: Permit | undefined = firstPermit;
       let attempts = 0;
-      let wait = RETRY_WAIT_MS;
+      let delayMs = INITIAL_RETRY_DELAY_MS;
       for (;;) {
         if (!permit || task.stop.aborted) {
           permit?.release();
           return undefined;
         }
         const requestId = generateId('item');
-        const watch = openTryWatch(task);
+        const watch = openAttemptWatch(task);
         let error: RouterError;
         try {
-          return await runTry(task, permit, requestId, watch);
+          return await runAttempt(task, permit, requestId, watch);
         } catch (thrown) {
           error = toRouterError(thrown, 'may-have-run');
         } finally {
@@ -169,8 +168,8 @@
           });
         }
         metrics.countItem('retried');
-        await waitBeforeRetry(task, wait, error);
-        wait = Math.min(MAX_RETRY_WAIT_MS, wait * 2);
+        await waitBeforeRetry(task, delayMs, error);
+        delayMs = Math.min(MAX_RETRY_DELAY_MS, delayMs * 2);
         if (task.drain.aborted) return undefined;
         permit = await task.window.acquire(task.stop);
       }
@@ -178,16 +177,16 @@
   };
 }
 
-/** The signal of one try. */
-interface TryWatch {
+/** The abort signal of one attempt. */
+interface AttemptWatch {
   signal: AbortSignal;
-  /** An endpoint answers: a shutdown waits for it. */
+  /** Marks that an endpoint responds, so that a shutdown waits for it. */
   markStarted(): void;
   close(): void;
 }
 
-/** Ends a try at once when it must stop, and on shutdown while it only waits. */
-function openTryWatch({stop, drain}: ItemTask): TryWatch {
+/** Aborts an attempt on stop, and on shutdown while no endpoint responds. */
+function openAttemptWatch({stop, drain}: ItemTask): AttemptWatch {
   const controller = new AbortController();
   const abort = () => controller.abort();
   if (stop.aborted || drain.aborted) abort();
@@ -204,8 +203,8 @@
 }
 
 function getAnswerTokens(item: BatchItem): number {
-  const {max_tokens: wanted} = item.body;
-  return typeof wanted === 'number' ? wanted : DEFAULT_ANSWER_TOKENS;
+  const {max_tokens: maxTokens} = item.body;
+  return typeof maxTokens === 'number' ? maxTokens : DEFAULT_ANSWER_TOKENS;
 }
 
 function buildLine(
--- a/src/instance/batch/job_output.ts
+++ b/src/instance/batch/job_output.ts
@@ -1,6 +1,6 @@
-/** The output of a whole job, and the sums over its segments. */
+/** Output of a job, and the sums over its segments. */
 import type {ObjectStore} from '../../stores/object_store.js';
-import type {Held, ResultPart, SegmentRecord} from './records.js';
+import type {StoredRecord, ResultPart, SegmentRecord} from './records.js';
 
 /** Sums over committed results. */
 export interface SegmentSummary {
@@ -10,9 +10,9 @@
   bytes: number;
 }
 
-/** Sums up what is committed of a job. */
+/** Sums the committed results of a job. */
 export function summarizeSegments(
-  segments: ReadonlyMap<number, Held<SegmentRecord>>,
+  segments: ReadonlyMap<number, StoredRecord<SegmentRecord>>,
 ): SegmentSummary {
   const sum = {items: 0, completed: 0, failed: 0, bytes: 0};
   for (const {record} of segments.values()) {
@@ -26,16 +26,16 @@
   return sum;
 }
 
-/** All parts in the order of the items. */
+/** Lists all result parts in the order of the items. */
 export function listParts(
-  segments: ReadonlyMap<number, Held<SegmentRecord>>,
+  segments: ReadonlyMap<number, StoredRecord<SegmentRecord>>,
 ): ResultPart[] {
   return [...segments.keys()]
     .sort((a, b) => a - b)
     .flatMap(index => segments.get(index)!.record.parts);
 }
 
-/** The objects of `parts` one after another, one in memory at a time. */
+/** Reads the objects of `parts` in order, with one in memory at a time. */
 export async function* readParts(
   objects: ObjectStore,
   parts: readonly ResultPart[],
--- a/src/instance/batch/job_request.ts
+++ b/src/instance/batch/job_request.ts
@@ -1,4 +1,4 @@
-/** The body of a request that creates a job. */
+/** Parses the body of a request that creates a job. */
 import * as z from 'zod';
 import {RouterError} from '../../common/errors.js';
 import {durationSchema} from '../../common/units.js';
@@ -13,7 +13,7 @@
   input_file_id: z.string().min(1),
   endpoint: z.string().optional(),
   completion_window: z.string().default(DEFAULT_COMPLETION_WINDOW),
-  /** When the output is wanted: Unix time in seconds, or ISO 8601. */
+  /** Time at which the output is due: Unix time in seconds, or ISO 8601. */
   due_at: z
     .union([z.number().positive(), z.iso.datetime({offset: true})])
     .optional(),
@@ -27,7 +27,7 @@
     .nullish(),
 });
 
-/** What a caller asks for, checked. */
+/** A validated request. */
 export interface ParsedJobRequest {
   fileId: string;
   endpoint: string | undefined;
@@ -39,24 +39,26 @@
   idempotencyKey: string;
 }
 
-/** `headerKey` goes before the key of the body. Throws RouterError. */
+/**
+ * `headerKey` takes precedence over the key of the body. Throws RouterError.
+ */
 export function parseJobRequest(
   body: Record<string, unknown>,
   headerKey: string | undefined,
   wallNow: number,
 ): ParsedJobRequest {
   const parsed = bodySchema.safeParse(body);
-  if (!parsed.success) throw refuseIssue(parsed.error.issues[0]);
+  if (!parsed.success) throw buildIssueError(parsed.error.issues[0]);
   const {data} = parsed;
   const window = durationSchema.safeParse(data.completion_window);
   if (!window.success) {
-    throw refuseField('completion_window', window.error.issues[0].message);
+    throw buildFieldError('completion_window', window.error.issues[0].message);
   }
   const key = idempotencyKeySchema.safeParse(
     headerKey ?? data.idempotency_key ?? '',
   );
   if (!key.success) {
-    throw refuseField('idempotency-key', key.error.issues[0].message);
+    throw buildFieldError('idempotency-key', key.error.issues[0].message);
   }
   return {
     fileId: data.input_file_id,
@@ -74,15 +76,15 @@
   return typeof due === 'number' ? due * 1000 : Date.parse(due);
 }
 
-function refuseIssue(issue: z.core.$ZodIssue): RouterError {
+function buildIssueError(issue: z.core.$ZodIssue): RouterError {
   const field =
     issue.code === 'unrecognized_keys'
       ? issue.keys[0]
       : issue.path.map(String).join('.');
-  return refuseField(field, issue.message);
+  return buildFieldError(field, issue.message);
 }
 
-function refuseField(field: string, message: string): RouterError {
+function buildFieldError(field: string, message: string): RouterError {
   return new RouterError('invalid_request', `${field}: ${message}`, {
     verdict: 'not-run',
     field,
--- a/src/instance/batch/job_routes.ts
+++ b/src/instance/batch/job_routes.ts
@@ -1,4 +1,4 @@
-/** The callers' interface to jobs. */
+/** HTTP routes of jobs. */
 import {RouterError} from '../../common/errors.js';
 import type {CallerDependencies} from '../callers/callers.js';
 import {IDEMPOTENCY_HEADER} from '../callers/constants.js';
@@ -16,8 +16,8 @@
 import {respondOutput} from './file_routes.js';
 import {summarizeSegments} from './job_output.js';
 import {parseJobRequest} from './job_request.js';
-import type {Held, JobRecord} from './records.js';
-import {withStoreFailure} from './store_failure.js';
+import type {StoredRecord, JobRecord} from './records.js';
+import {convertStoreErrors} from './store_failure.js';
 
 const DEFAULT_PAGE = 20;
 const MAX_PAGE = 100;
@@ -30,15 +30,15 @@
   const account = authenticateAccount(exchange, dependencies);
   const body = await readBody(exchange.request, MAX_REQUEST_BYTES);
   const wallNow = clock.wallNow();
-  const asked = parseJobRequest(
+  const parsed = parseJobRequest(
     parseJsonObject(body),
     exchange.request.headers[IDEMPOTENCY_HEADER] as string | undefined,
     wallNow,
   );
-  const job = await withStoreFailure(() =>
+  const job = await convertStoreErrors(() =>
     batch.jobs.create(
       {
-        ...asked,
+        ...parsed,
         account,
         authorize: ({service}) =>
           drawSubmission(account, service, dependencies),
@@ -49,15 +49,17 @@
   await respondJob(exchange, batch, job);
 }
 
-/** An open job's counts are summed from what is committed of it. */
+/**
+ * Responds with a job; the counts of an open job are summed from its commits.
+ */
 async function respondJob(
   exchange: HttpExchange,
   batch: Batch,
-  job: Held<JobRecord>,
+  job: StoredRecord<JobRecord>,
 ) {
   const counts =
     job.record.state === 'in_progress'
-      ? await withStoreFailure(async () =>
+      ? await convertStoreErrors(async () =>
           summarizeSegments(await batch.segments.query(job.id)),
         )
       : job.record;
@@ -70,7 +72,7 @@
 ) {
   const {batch} = dependencies;
   const account = authenticateAccount(exchange, dependencies);
-  const job = await withStoreFailure(() =>
+  const job = await convertStoreErrors(() =>
     batch.jobs.find(account, parseId(exchange)),
   );
   await respondJob(exchange, batch, job);
@@ -83,7 +85,7 @@
   const {batch, clock} = dependencies;
   const account = authenticateAccount(exchange, dependencies);
   const id = parseId(exchange);
-  const job = await withStoreFailure(() =>
+  const job = await convertStoreErrors(() =>
     cancelJob(batch, account, id, clock.wallNow()),
   );
   if (job.record.state === 'completed') {
@@ -95,13 +97,13 @@
   await respondJob(exchange, batch, job);
 }
 
-/** Ends a job; one that has ended already is returned as it is. */
+/** Cancels a job; a job that has ended is returned unchanged. */
 export async function cancelJob(
   batch: Batch,
   account: string,
   jobId: string,
   wallNow: number,
-): Promise<Held<JobRecord>> {
+): Promise<StoredRecord<JobRecord>> {
   const summary = summarizeSegments(await batch.segments.query(jobId));
   const {completed, failed} = summary;
   const ended = await batch.jobs.finish(
@@ -120,11 +122,11 @@
 ) {
   const {batch} = dependencies;
   const account = authenticateAccount(exchange, dependencies);
-  const jobs = await withStoreFailure(() => batch.jobs.list(account));
+  const jobs = await convertStoreErrors(() => batch.jobs.list(account));
   const {page, hasMore} = selectPage(jobs, exchange.query);
   respondJson(exchange, 200, {
     object: 'list',
-    // Counts of open jobs are read with each job, not for a whole list.
+    // Counts of open jobs are read for single jobs only, not for lists.
     data: page.map(job => buildJobAnswer(job, job.record)),
     first_id: page.at(0)?.id ?? null,
     last_id: page.at(-1)?.id ?? null,
@@ -133,14 +135,14 @@
 }
 
 function selectPage(
-  jobs: readonly Held<JobRecord>[],
+  jobs: readonly StoredRecord<JobRecord>[],
   query: URLSearchParams,
-): {page: Held<JobRecord>[]; hasMore: boolean} {
+): {page: StoredRecord<JobRecord>[]; hasMore: boolean} {
   const limit = parseLimit(query.get('limit'));
   const after = query.get('after');
   const start = after === null ? 0 : jobs.findIndex(({id}) => id === after) + 1;
   if (after !== null && start === 0) {
-    throw refuseQuery('after', `there is no job '${after}'`);
+    throw buildQueryError('after', `there is no job '${after}'`);
   }
   return {
     page: jobs.slice(start, start + limit),
@@ -152,10 +154,13 @@
   if (text === null) return DEFAULT_PAGE;
   const limit = Number(text);
   if (Number.isInteger(limit) && limit >= 1 && limit <= MAX_PAGE) return limit;
-  throw refuseQuery('limit', `must be a whole number from 1 to ${MAX_PAGE}`);
+  throw buildQueryError(
+    'limit',
+    `must be a whole number from 1 to ${MAX_PAGE}`,
+  );
 }
 
-function refuseQuery(field: string, message: string): RouterError {
+function buildQueryError(field: string, message: string): RouterError {
   return new RouterError('invalid_request', `${field}: ${message}`, {
     verdict: 'not-run',
     field,
@@ -174,7 +179,6 @@
   return exchange.path.split('/')[3];
 }
 
-/** Routes of jobs. */
 export const JOB_ROUTES: readonly Route[] = [
   {method: 'POST', pattern: /^\/v1\/batches$/, handle: handleCreate},
   {method: 'GET', pattern: /^\/v1\/batches$/, handle: handleList},
--- a/src/instance/batch/job_store.ts
+++ b/src/instance/batch/job_store.ts
@@ -1,6 +1,7 @@
 /**
- * Jobs: accepted once, ended once. A job's row, its row among the open jobs
- * of its service and its hold on the file change in one transaction.
+ * Stores jobs, which are accepted once and ended once. A job's row, its row
+ * among the open jobs of its service and the file's count of open jobs change
+ * in one transaction.
  */
 import {RouterError} from '../../common/errors.js';
 import {hashText} from '../../common/ids.js';
@@ -10,8 +11,8 @@
   TransactionOutcome,
   WriteOperation,
 } from '../../stores/table_store.js';
-import {MAX_RACES} from './constants.js';
-import {refuseRace, type FileStore} from './file_store.js';
+import {MAX_TRANSACTION_ATTEMPTS} from './constants.js';
+import {buildConflictError, type FileStore} from './file_store.js';
 import {
   buildFileKey,
   buildJobKey,
@@ -20,26 +21,26 @@
   jobRecordSchema,
   parseRow,
   type FileRecord,
-  type Held,
+  type StoredRecord,
   type JobRecord,
   type WorkRecord,
 } from './records.js';
 
-/** What a caller asks for. */
+/** A request to create a job. */
 export interface JobRequest {
   account: string;
   fileId: string;
-  /** Empty: the request's content names the job. */
+  /** If empty, the job id is derived from the request's content. */
   idempotencyKey: string;
   endpoint: string | undefined;
   completionWindow: string;
   /** Wall time in ms. */
   dueAt: number;
-  /** JSON object of the caller's own. */
+  /** JSON object defined by the caller. */
   metadata: string;
-  /** What the caller sent of the due time, to compare resends by. */
+  /** Due time as the caller sent it, to recognize a resend. */
   dueRequest: string;
-  /** Called before a new job is accepted; a resend is not charged again. */
+  /** Called before a new job is accepted, but not for a resend. */
   authorize: (file: FileRecord) => Promise<void>;
 }
 
@@ -51,22 +52,25 @@
   outputBytes: number;
 }
 
-/** The jobs. All methods throw RouterError or StoreError. */
+/** Reads and changes jobs. All methods throw RouterError or StoreError. */
 export interface JobStore {
-  /** Accepts a job, or finds the one that an earlier sending made. */
-  create(request: JobRequest, wallNow: number): Promise<Held<JobRecord>>;
-  find(account: string, jobId: string): Promise<Held<JobRecord>>;
-  list(account: string): Promise<Held<JobRecord>[]>;
-  /** Ends an open job; one that has ended is returned as it is. */
+  /** Accepts a job, or returns the one that an earlier request created. */
+  create(
+    request: JobRequest,
+    wallNow: number,
+  ): Promise<StoredRecord<JobRecord>>;
+  find(account: string, jobId: string): Promise<StoredRecord<JobRecord>>;
+  list(account: string): Promise<StoredRecord<JobRecord>[]>;
+  /** Ends an open job; a job that has ended is returned unchanged. */
   finish(
     account: string,
     jobId: string,
     end: JobEnd,
     wallNow: number,
-  ): Promise<Held<JobRecord>>;
+  ): Promise<StoredRecord<JobRecord>>;
 }
 
-/** Keeps jobs in the platform's table. */
+/** Creates a store that uses the platform's table. */
 export function createJobStore({table}: Platform, files: FileStore): JobStore {
   async function findJob(account: string, jobId: string) {
     const row = await table.get(buildJobKey(account, jobId));
@@ -85,7 +89,7 @@
   async function commitJob(
     jobId: string,
     record: JobRecord,
-    file: Held<FileRecord>,
+    file: StoredRecord<FileRecord>,
   ): Promise<TransactionOutcome> {
     const {account, service} = record;
     return table.transact([
@@ -96,7 +100,7 @@
   }
 
   async function commitEnd(
-    job: Held<JobRecord>,
+    job: StoredRecord<JobRecord>,
     record: JobRecord,
   ): Promise<TransactionOutcome> {
     const {account, service, fileId} = record;
@@ -117,7 +121,7 @@
       const requestHash = hashRequest(request);
       const jobId = buildJobId(request, requestHash);
       let isAuthorized = false;
-      for (let race = 0; race < MAX_RACES; race++) {
+      for (let attempt = 0; attempt < MAX_TRANSACTION_ATTEMPTS; attempt++) {
         const found = await findJob(request.account, jobId);
         if (found) return checkSameRequest(found, requestHash);
         const file = await files.find(request.account, request.fileId);
@@ -129,7 +133,7 @@
         if (outcome.kind === 'committed')
           return {id: jobId, version: 1, record};
       }
-      throw refuseRace();
+      throw buildConflictError();
     },
     find: getJob,
     async list(account) {
@@ -139,7 +143,7 @@
         .sort((a, b) => b.record.createdAt - a.record.createdAt);
     },
     async finish(account, jobId, end, wallNow) {
-      for (let race = 0; race < MAX_RACES; race++) {
+      for (let attempt = 0; attempt < MAX_TRANSACTION_ATTEMPTS; attempt++) {
         const job = await getJob(account, jobId);
         if (job.record.state !== 'in_progress') return job;
         const record = {...job.record, ...end, endedAt: wallNow};
@@ -148,12 +152,12 @@
           return {id: jobId, version: job.version + 1, record};
         }
       }
-      throw refuseRace();
+      throw buildConflictError();
     },
   };
 }
 
-/** A put that expects the row at `version`; 0 expects none. */
+/** Builds a put that expects the row at `version`, or no row if it is 0. */
 function buildPut(
   key: WriteOperation['key'],
   fields: Fields,
@@ -168,11 +172,11 @@
 }
 
 /**
- * A file with open jobs is not deleted: without the count, deleting it would
- * leave an accepted job whose items are gone.
+ * Builds a change of the file's count of open jobs. Without the count, deleting
+ * a file could leave an accepted job without its items.
  */
 function buildOpenJobsChange(
-  file: Held<FileRecord>,
+  file: StoredRecord<FileRecord>,
   change: 1 | -1,
 ): WriteOperation {
   const {record, id, version} = file;
@@ -185,13 +189,14 @@
 
 function hashRequest(request: JobRequest): string {
   const {fileId, endpoint, completionWindow, dueRequest, metadata} = request;
-  const asked = [fileId, endpoint ?? '', completionWindow, dueRequest];
-  return hashText(JSON.stringify([...asked, metadata]));
+  const parts = [fileId, endpoint ?? '', completionWindow, dueRequest];
+  return hashText(JSON.stringify([...parts, metadata]));
 }
 
 /**
- * Without a key, the content names the job: a whole job that is sent again
- * because its acknowledgement was lost must not be run again.
+ * Builds the job id from the idempotency key or, without a key, from the
+ * content. A job that is resent because its acknowledgement was lost must not
+ * run again.
  */
 function buildJobId(request: JobRequest, requestHash: string): string {
   const {account, idempotencyKey} = request;
@@ -201,9 +206,9 @@
 }
 
 function checkSameRequest(
-  job: Held<JobRecord>,
+  job: StoredRecord<JobRecord>,
   requestHash: string,
-): Held<JobRecord> {
+): StoredRecord<JobRecord> {
   if (job.record.requestHash === requestHash) return job;
   throw new RouterError(
     'conflict',
--- a/src/instance/batch/job_view.test.ts
+++ b/src/instance/batch/job_view.test.ts
@@ -13,29 +13,29 @@
   dueAt: 0,
 };
 
-function makeHeld(version: number, record: SegmentRecord) {
+function makeStored(version: number, record: SegmentRecord) {
   return {id: '0', version, record};
 }
 
 describe('job view', () => {
-  it('keeps its own write when a read from before it arrives late', () => {
+  it('retains its own write when an older read arrives late', () => {
     const job = createJobView('job', WORK, 0);
     const claim = buildClaim(undefined, 'run-a');
     job.running.add(0);
-    job.segments.set(0, makeHeld(2, {...claim, done: 4}));
-    updateView(job, new Map([[0, makeHeld(1, claim)]]), 0);
+    job.segments.set(0, makeStored(2, {...claim, done: 4}));
+    updateView(job, new Map([[0, makeStored(1, claim)]]), 0);
     assert.equal(job.segments.get(0)?.version, 2);
   });
 
-  it('finds released and unclaimed segments, from its start on', () => {
+  it('finds released and unclaimed segments, beginning at its start', () => {
     const job = createJobView('job', WORK, 1);
     const claim = buildClaim(undefined, 'run-a');
     const released = buildRelease(claim, 0, {idempotent: true});
-    job.segments.set(1, makeHeld(1, claim));
+    job.segments.set(1, makeStored(1, claim));
     assert.equal(findOpenSegment(job), 2);
     job.running.add(2);
     assert.equal(findOpenSegment(job), 0);
-    updateView(job, new Map([[1, makeHeld(2, released)]]), 0);
+    updateView(job, new Map([[1, makeStored(2, released)]]), 0);
     assert.equal(findOpenSegment(job), 1);
   });
 });
--- a/src/instance/batch/job_view.ts
+++ b/src/instance/batch/job_view.ts
@@ -1,27 +1,27 @@
-/** An open job as a worker sees it between two looks at the table. */
-import type {Held, SegmentRecord, WorkRecord} from './records.js';
+/** A worker's cached view of an open job between two reads of the table. */
+import type {StoredRecord, SegmentRecord, WorkRecord} from './records.js';
 
 /** One open job. */
 export interface JobView {
   id: string;
   work: WorkRecord;
-  /** Segments that were claimed by anybody, as last read or written. */
-  segments: Map<number, Held<SegmentRecord>>;
+  /** Segments claimed by any instance, as last read or written. */
+  segments: Map<number, StoredRecord<SegmentRecord>>;
   /** Monotonic time of the last read of the segments. */
   refreshedAt: number;
-  /** Set when a write showed that the view is out of date. */
+  /** Whether the view may be out of date and has to be read again. */
   isStale: boolean;
-  /** Segments that this instance works. */
+  /** Segments that this instance runs. */
   running: Set<number>;
-  /** Aborts when the job has ended. */
+  /** Aborted when the job has ended. */
   ended: AbortController;
-  /** No segment before this one, counted from the start, is open. */
+  /** Offset from `start` before which no segment is open. */
   cursor: number;
-  /** Where this instance starts to look: spread, so that claims meet less. */
+  /** First segment that this instance tries to claim; reduces conflicts. */
   start: number;
 }
 
-/** A view that has yet to be refreshed. */
+/** Creates a view that is stale until it is updated. */
 export function createJobView(
   id: string,
   work: WorkRecord,
@@ -40,7 +40,7 @@
   };
 }
 
-/** A segment that nobody works; undefined when there is none. */
+/** Finds a segment that no instance owns; undefined when there is none. */
 export function findOpenSegment(job: JobView): number | undefined {
   for (; job.cursor < job.work.segments; job.cursor++) {
     const index = (job.start + job.cursor) % job.work.segments;
@@ -50,45 +50,46 @@
 }
 
 function isOpen(job: JobView, index: number): boolean {
-  const held = job.segments.get(index);
+  const stored = job.segments.get(index);
   if (job.running.has(index)) return false;
-  return held === undefined || held.record.state === 'released';
+  return stored === undefined || stored.record.state === 'released';
 }
 
-/** Segments that others own, or that this instance owns but does not work. */
+/** Lists owned segments that this instance does not run. */
 export function listForeignSegments(
   job: JobView,
-): [index: number, held: Held<SegmentRecord>][] {
+): [index: number, stored: StoredRecord<SegmentRecord>][] {
   return [...job.segments].filter(
     ([index, {record}]) => record.state === 'owned' && !job.running.has(index),
   );
 }
 
 /** Whether all results are committed. */
-export function isWhole(job: JobView): boolean {
+export function isComplete(job: JobView): boolean {
   if (job.segments.size < job.work.segments) return false;
   return [...job.segments.values()].every(
     ({record}) => record.state === 'done',
   );
 }
 
-/** Items without a committed result. */
+/** Counts the items without a committed result. */
 export function countRemainingItems(job: JobView): number {
   let done = 0;
   for (const {record} of job.segments.values()) done += record.done;
   return job.work.items - done;
 }
 
-/** Takes in what the table holds now. */
+/** Updates a view with the segments read from the table. */
 export function updateView(
   job: JobView,
-  segments: Map<number, Held<SegmentRecord>>,
+  segments: Map<number, StoredRecord<SegmentRecord>>,
   now: number,
 ): void {
   for (const index of job.running) {
     const known = job.segments.get(index);
     const read = segments.get(index);
-    // A row read before this instance's last write must not undo it.
+    // A row that was read before this instance's last write must not replace
+    // it.
     if (known && (!read || read.version < known.version)) {
       segments.set(index, known);
     }
--- a/src/instance/batch/output_access.ts
+++ b/src/instance/batch/output_access.ts
@@ -1,17 +1,17 @@
-/** Finds the output of a job, which is there only when it is whole. */
+/** Opens the output of a job. Only completed jobs have an output. */
 import {RouterError} from '../../common/errors.js';
 import type {Batch} from './batch.js';
 import {listParts} from './job_output.js';
-import type {Held, JobRecord} from './records.js';
+import type {StoredRecord, JobRecord} from './records.js';
 
-/** A whole output. */
+/** The output of a completed job. */
 export interface JobOutput {
-  job: Held<JobRecord>;
+  job: StoredRecord<JobRecord>;
   /** One line for each item, in the order of the bundle. */
   content: AsyncGenerator<Buffer>;
 }
 
-/** Throws RouterError for a job that is not completed, StoreError. */
+/** Throws RouterError for a job that is not completed, and StoreError. */
 export async function openOutput(
   batch: Batch,
   account: string,
--- a/src/instance/batch/owner_check.ts
+++ b/src/instance/batch/owner_check.ts
@@ -1,45 +1,49 @@
-/** Judges whether owners of segments are gone, at a bounded cost in reads. */
+/** Checks whether the leases of segment owners have expired, with few reads. */
 import type {TableStore} from '../../stores/table_store.js';
 import {createLeaseObserver} from '../members/instance_lease.js';
-import {MAX_KNOWN_OWNERS, OWNER_CHECK_MS} from './constants.js';
+import {MAX_CACHED_OWNERS, OWNER_CHECK_INTERVAL_MS} from './constants.js';
 
-/** Remembers what it saw of each owner. */
+/** Checks the leases of owners and caches the results. */
 export interface OwnerChecker {
-  /** Whether the lease is over; throws StoreError without an answer. */
+  /** Whether the lease has expired; throws StoreError. */
   check(incarnation: string, now: number): Promise<boolean>;
   /**
-   * Forgets since when leases were seen unchanged. While the store is down
-   * nobody can renew: judging by a time that spans an outage would expire the
-   * lease of every healthy owner the moment the store is back.
+   * Restarts the observation of how long leases have been unchanged. While the
+   * store is down, no owner can renew its lease. Counting an outage as time
+   * without renewal would expire the lease of every healthy owner as soon as
+   * the store is available again.
    */
   reset(): void;
 }
 
-interface Judgement {
-  isOver: boolean;
+interface LeaseCheck {
+  isExpired: boolean;
   at: number;
 }
 
-/** One read for each owner every OWNER_CHECK_MS, however many segments it has. */
+/**
+ * Creates a checker that reads the lease of each owner once per
+ * OWNER_CHECK_INTERVAL_MS, regardless of the number of its segments.
+ */
 export function createOwnerCheck(table: TableStore): OwnerChecker {
-  const judgements = new Map<string, Judgement>();
+  const checks = new Map<string, LeaseCheck>();
   let observer = createLeaseObserver(table);
 
-  function expireOldest() {
-    const [oldest] = judgements.keys();
-    if (judgements.size > MAX_KNOWN_OWNERS) judgements.delete(oldest);
+  function evictOldest() {
+    const [oldest] = checks.keys();
+    if (checks.size > MAX_CACHED_OWNERS) checks.delete(oldest);
   }
 
   return {
     async check(incarnation, now) {
-      const held = judgements.get(incarnation);
-      if (held?.isOver) return true;
-      if (held && now - held.at < OWNER_CHECK_MS) return false;
-      const isOver = await observer.checkOver(incarnation, now);
-      judgements.delete(incarnation);
-      judgements.set(incarnation, {isOver, at: now});
-      expireOldest();
-      return isOver;
+      const cached = checks.get(incarnation);
+      if (cached?.isExpired) return true;
+      if (cached && now - cached.at < OWNER_CHECK_INTERVAL_MS) return false;
+      const isExpired = await observer.checkOver(incarnation, now);
+      checks.delete(incarnation);
+      checks.set(incarnation, {isExpired, at: now});
+      evictOldest();
+      return isExpired;
     },
     reset() {
       observer = createLeaseObserver(table);
--- a/src/instance/batch/ownership.ts
+++ b/src/instance/batch/ownership.ts
@@ -1,26 +1,29 @@
 /**
- * The right to own segments: the instance's lease under the incarnation that
- * it had when a segment was claimed. While it is renewed, nobody takes the
- * segments over; a lease that was lost is never held again under that name.
+ * Tracks the lease under which this instance owns segments. A segment is owned
+ * through the incarnation that the lease had when the segment was claimed.
+ * While the lease is renewed, no other instance takes the segment over. A lost
+ * lease is acquired again only under a new incarnation.
  */
 import type {InstanceLease} from '../members/instance_lease.js';
 
 /** Ownership under one incarnation of the lease. */
 export interface Ownership {
   incarnation: string;
-  /** Aborted when the lease was lost: nothing owned through it can commit. */
+  /**
+   * Aborted when the lease is lost; owned segments cannot be committed then.
+   */
   lost: AbortSignal;
 }
 
-/** Follows the lease of this instance. */
+/** Watches the lease of this instance. */
 export interface OwnershipWatch {
-  /** Undefined while the lease may not be used at `now`. */
+  /** The current ownership; undefined if the lease is not held at `now`. */
   find(now: number): Ownership | undefined;
-  /** Notes a change of incarnation; called often. */
+  /** Detects a change of incarnation; called periodically. */
   poll(): void;
 }
 
-/** The lease is renewed elsewhere. */
+/** Watches `lease`, which another module renews. */
 export function createOwnershipWatch(lease: InstanceLease): OwnershipWatch {
   let {incarnation} = lease;
   let lost = new AbortController();
--- a/src/instance/batch/records.ts
+++ b/src/instance/batch/records.ts
@@ -1,12 +1,12 @@
 /**
- * The rows that batch keeps in the table:
+ * Schemas and keys of the rows of batch jobs in the table:
  *
  * | partition         | sort    | row                                        |
  * | ----------------- | ------- | ------------------------------------------ |
  * | `files#ACCOUNT`   | file id | one uploaded bundle                        |
  * | `jobs#ACCOUNT`    | job id  | one job, from acceptance to retention      |
- * | `work#SERVICE`    | job id  | one open job; what workers look through    |
- * | `segments#JOB`    | index   | a segment that was claimed; absent is open |
+ * | `work#SERVICE`    | job id  | one open job, read by the workers          |
+ * | `segments#JOB`    | index   | one claimed segment; no row if unclaimed   |
  */
 import * as z from 'zod';
 import type {Fields, Row, RowKey} from '../../stores/table_store.js';
@@ -14,32 +14,32 @@
 /** An uploaded bundle. */
 export const fileRecordSchema = z.object({
   account: z.string(),
-  /** The service that all of its items ask. */
+  /** The service to which all items are sent. */
   service: z.string(),
-  /** Path that all of its items ask. */
+  /** The request path of all items. */
   endpoint: z.string(),
   filename: z.string(),
-  /** Names the objects that hold its segments. */
+  /** Part of the names of the objects that contain the segments. */
   upload: z.string(),
   bytes: z.number(),
   items: z.number(),
   segments: z.number(),
   /** Wall time in ms. */
   createdAt: z.number(),
-  /** Jobs over it that are not finished; above 0 it may not be deleted. */
+  /** Number of open jobs on the file. It may be deleted only at 0. */
   openJobs: z.number(),
 });
 
 /** A row of `files#ACCOUNT`. */
 export type FileRecord = z.infer<typeof fileRecordSchema>;
 
-/** What a job can be. `in_progress` is the only state that commits results. */
+/** State of a job. Results are committed only in state `in_progress`. */
 export const jobStateSchema = z.enum(['in_progress', 'completed', 'cancelled']);
 
-/** State of a job. */
+/** Type of the schema of the same name. */
 export type JobState = z.infer<typeof jobStateSchema>;
 
-/** A row of `jobs#ACCOUNT`. Times are wall time in ms; 0 is not yet. */
+/** A row of `jobs#ACCOUNT`. Times are wall time in ms; 0 means not yet. */
 export const jobRecordSchema = z.object({
   account: z.string(),
   service: z.string(),
@@ -48,10 +48,10 @@
   upload: z.string(),
   items: z.number(),
   segments: z.number(),
-  /** Digest of what was asked, to tell a resend from another request. */
+  /** Digest of the request, to distinguish a resend from another request. */
   requestHash: z.string(),
   completionWindow: z.string(),
-  /** JSON object of the caller's own. */
+  /** JSON object defined by the caller. */
   metadata: z.string(),
   state: jobStateSchema,
   createdAt: z.number(),
@@ -65,7 +65,7 @@
 /** A row of `jobs#ACCOUNT`. */
 export type JobRecord = z.infer<typeof jobRecordSchema>;
 
-/** A row of `work#SERVICE`: what a worker needs to know of an open job. */
+/** A row of `work#SERVICE`: what a worker needs of an open job. */
 export const workRecordSchema = z.object({
   account: z.string(),
   upload: z.string(),
@@ -93,17 +93,17 @@
 /** A row of `segments#JOB`. */
 export const segmentRecordSchema = z.object({
   state: z.enum(['owned', 'released', 'done']),
-  /** Incarnation of the lease it is owned through. */
+  /** Incarnation of the lease through which the segment is owned. */
   owner: z.string(),
-  /** One more with each owner; results carry it in their names. */
+  /** Incremented with each owner; part of the names of result objects. */
   epoch: z.number(),
-  /** Items whose results are committed, from the first. */
+  /** Number of leading items whose results are committed. */
   done: z.number(),
-  /** Items before this one, from `done`, may have been begun. */
+  /** Items from `done` up to this index (exclusive) may have been started. */
   intent: z.number(),
-  /** Owners lost since it last made progress. */
+  /** Number of owners lost since the segment last made progress. */
   losses: z.number(),
-  /** Progress up to here ends the suspicion that the losses raised. */
+  /** When `done` reaches this index, `losses` is reset. */
   suspectEnd: z.number(),
   /** JSON list of result parts, in order. */
   parts: z.string().transform((text, context) => {
@@ -155,15 +155,15 @@
   };
 }
 
-/** Name of the object that holds a segment's items. */
+/** Name of the object that contains a segment's items. */
 export function buildItemsName(upload: string, index: number): string {
   return `files/${upload}/${formatIndex(index)}`;
 }
 
 /**
- * Name of an object of results. The epoch in it keeps a late owner's object
- * apart from its successor's: without it, the late one would replace results
- * that were committed already.
+ * Name of a result object. It contains the epoch, so that an object that an
+ * earlier owner writes late does not replace the committed results of its
+ * successor.
  */
 export function buildResultName(
   jobId: string,
@@ -174,28 +174,28 @@
   return `results/${jobId}/${formatIndex(index)}/${epoch}-${from}`;
 }
 
-/** Sorts as text as the number does. */
+/** Pads an index so that names sort in numeric order. */
 function formatIndex(index: number): string {
   return String(index).padStart(6, '0');
 }
 
-/** A segment as a row holds it. */
+/** Converts a segment to the fields of its row. */
 export function toSegmentFields(segment: SegmentRecord): Fields {
   return {...segment, parts: JSON.stringify(segment.parts)};
 }
 
-/** A row with its typed record. */
-export interface Held<RecordType> {
+/** A typed record with the id and version of its row. */
+export interface StoredRecord<RecordType> {
   id: string;
   version: number;
   record: RecordType;
 }
 
-/** Reads a row's fields by their schema; throws when they do not fit. */
+/** Parses a row's fields by a schema; throws when they do not fit. */
 export function parseRow<Schema extends z.ZodType>(
   row: Row,
   schema: Schema,
-): Held<z.infer<Schema>> {
+): StoredRecord<z.infer<Schema>> {
   return {
     id: row.key.sort,
     version: row.version,
--- a/src/instance/batch/routes.ts
+++ b/src/instance/batch/routes.ts
@@ -1,4 +1,4 @@
-/** The callers' interface to batch bundles. */
+/** The HTTP interface of batch bundles. */
 import type {Route} from '../callers/routes.js';
 import {FILE_ROUTES} from './file_routes.js';
 import {JOB_ROUTES} from './job_routes.js';
--- a/src/instance/batch/segment_cutter.ts
+++ b/src/instance/batch/segment_cutter.ts
@@ -1,14 +1,14 @@
 /**
- * Cuts a bundle into the objects that hold its segments as it streams in. One
- * segment is gathered while the one before it is written, so an instance holds
- * two of them however large the bundle is.
+ * Splits a bundle into segments while it is uploaded, and writes each segment
+ * as an object. One segment is collected while the previous one is written, so
+ * an instance has at most 2 segments in memory regardless of the bundle's size.
  */
 import {createHash} from 'node:crypto';
 import type {ObjectStore} from '../../stores/object_store.js';
-import {SEGMENT_BYTES, SEGMENT_ITEMS} from './constants.js';
+import {MAX_SEGMENT_BYTES, MAX_SEGMENT_ITEMS} from './constants.js';
 import {buildItemsName} from './records.js';
 
-/** What was written. */
+/** Totals of a bundle that was written. */
 export interface CutBundle {
   items: number;
   segments: number;
@@ -17,36 +17,37 @@
   contentHash: string;
 }
 
-/** Takes the items of one bundle in order. */
+/** Writes the items of one bundle in order. */
 export interface SegmentCutter {
   addLine(text: string): Promise<void>;
-  /** Writes what is left; throws StoreError when any write got no answer. */
+  /** Writes the last segment; throws StoreError if a write failed. */
   finish(): Promise<CutBundle>;
-  /** Deletes what was written. */
+  /** Deletes the written objects. */
   discard(): Promise<void>;
 }
 
-/** `upload` names the objects. */
+/** Creates a cutter; `upload` is part of the names of the objects. */
 export function createSegmentCutter(
   objects: ObjectStore,
   upload: string,
-  maxItems = SEGMENT_ITEMS,
+  maxItems = MAX_SEGMENT_ITEMS,
 ): SegmentCutter {
   const digest = createHash('sha256');
   const total = {items: 0, segments: 0, bytes: 0};
   let lines: Buffer[] = [];
-  let gathered = 0;
-  let writing: Promise<void> = Promise.resolve();
+  let bufferedBytes = 0;
+  let pendingWrite: Promise<void> = Promise.resolve();
 
   async function writeSegment() {
     const body = Buffer.concat(lines);
     const index = total.segments++;
     lines = [];
-    gathered = 0;
-    await writing;
-    writing = objects.put(buildItemsName(upload, index), body);
-    // Awaited by the next segment; a failure until then is not unhandled.
-    writing.catch(() => {});
+    bufferedBytes = 0;
+    await pendingWrite;
+    pendingWrite = objects.put(buildItemsName(upload, index), body);
+    // The next segment awaits this write. Without a handler, a failure before
+    // that would be an unhandled rejection.
+    pendingWrite.catch(() => {});
   }
 
   return {
@@ -54,19 +55,20 @@
       const line = Buffer.from(`${text}\n`);
       digest.update(line);
       lines.push(line);
-      gathered += line.length;
+      bufferedBytes += line.length;
       total.items++;
       total.bytes += line.length;
-      const isFull = lines.length >= maxItems || gathered >= SEGMENT_BYTES;
+      const isFull =
+        lines.length >= maxItems || bufferedBytes >= MAX_SEGMENT_BYTES;
       if (isFull) await writeSegment();
     },
     async finish() {
       if (lines.length > 0) await writeSegment();
-      await writing;
+      await pendingWrite;
       return {...total, contentHash: digest.digest('hex')};
     },
     async discard() {
-      await writing.catch(() => {});
+      await pendingWrite.catch(() => {});
       await deleteItems(objects, upload, total.segments);
     },
   };
--- a/src/instance/batch/segment_launcher.ts
+++ b/src/instance/batch/segment_launcher.ts
@@ -1,4 +1,4 @@
-/** Claims segments of one service's jobs and keeps those under way. */
+/** Claims segments of one service's jobs and runs them. */
 import {setMaxListeners} from 'node:events';
 import type {Clock} from '../../common/clock.js';
 import type {Configuration} from '../configuration/configuration.js';
@@ -6,7 +6,7 @@
 import {
   CLAIM_AHEAD_ITEMS,
   MAX_ACTIVE_SEGMENTS,
-  SEGMENT_ITEMS,
+  MAX_SEGMENT_ITEMS,
 } from './constants.js';
 import {countRemainingItems, type JobView} from './job_view.js';
 import type {Ownership} from './ownership.js';
@@ -15,7 +15,6 @@
 import type {OwnedSegment, SegmentStore} from './segment_store.js';
 import {createWorkWindow} from './work_window.js';
 
-/** What the launcher works with. */
 export interface SegmentLauncherDependencies {
   clock: Clock;
   configuration: Configuration;
@@ -26,26 +25,29 @@
   metrics: BatchMetrics;
 }
 
-/** Told when there may be room for another segment, or a job may be whole. */
+/**
+ * Called when there may be room for another segment, and when a segment ended.
+ */
 export interface LauncherEvents {
   onRoom: () => void;
   onEnd: (job: JobView, end: SegmentEnd) => void;
 }
 
-/** Segments under way on this instance. */
+/** Runs segments on this instance. */
 export interface SegmentLauncher {
   hasRoom(): boolean;
   countRunning(): number;
-  /** Items that ended since this was last asked. */
+  /** Returns and resets the number of items that have ended. */
   takeEndedItems(): number;
-  /** Whether the segment is this instance's now; throws StoreError. */
+  /**
+   * Claims and starts a segment; false if the claim lost. Throws StoreError.
+   */
   acquire(job: JobView, index: number, ownership: Ownership): Promise<boolean>;
-  /** Resolves when none is under way. */
+  /** Resolves when no segment is in progress. */
   awaitIdle(): Promise<void>;
   describe(): object;
 }
 
-/** Starts with none. */
 export function createSegmentLauncher(
   service: string,
   dependencies: SegmentLauncherDependencies,
@@ -54,7 +56,7 @@
   const {configuration, segments, metrics} = dependencies;
   const running = new Set<Promise<void>>();
   const window = createWorkWindow();
-  /** Items of segments under way that have not begun. */
+  /** Number of items of claimed segments that have not been started. */
   let unbegun = 0;
   let ended = 0;
 
@@ -66,7 +68,7 @@
     job.segments.set(index, {id: String(index), version, record});
   }
 
-  /** Counts the items of one segment that have not begun. */
+  /** Tracks the items of one segment that have not been started. */
   function createCountdown(initial: number) {
     let left = initial;
     unbegun += left;
@@ -89,11 +91,11 @@
     segment: OwnedSegment,
     ownership: Ownership,
   ) {
-    const remaining = Math.min(SEGMENT_ITEMS, countRemainingItems(job));
+    const remaining = Math.min(MAX_SEGMENT_ITEMS, countRemainingItems(job));
     const countdown = createCountdown(remaining);
     const {batch} = configuration.find(service)?.document ?? {};
     const stop = AbortSignal.any([job.ended.signal, ownership.lost]);
-    // Each item under way listens to it.
+    // Each item in progress adds a listener.
     setMaxListeners(0, stop);
     const run = dependencies.runSegment({
       segment,
@@ -118,13 +120,14 @@
     job: JobView,
     index: number,
     run: Promise<SegmentEnd>,
-    forget: () => void,
+    resetCountdown: () => void,
   ) {
     async function awaitEnd() {
-      // A crash is counted; the segment is claimed anew, as from a lost owner.
+      // An unexpected error is counted. The segment is claimed again, as after
+      // the loss of an owner.
       const end = await run.catch(() => 'crashed' as const);
       metrics.countSegment(end);
-      forget();
+      resetCountdown();
       job.running.delete(index);
       job.cursor = 0;
       running.delete(tracked);
@@ -143,14 +146,15 @@
       return items;
     },
     async acquire(job, index, ownership) {
-      const held = job.segments.get(index);
+      const stored = job.segments.get(index);
       const id = {account: job.work.account, jobId: job.id, index};
-      const record = buildClaim(held?.record, ownership.incarnation);
+      const record = buildClaim(stored?.record, ownership.incarnation);
       job.running.add(index);
-      // Without an answer it may be this instance's: a fresh look tells.
+      // Without a response the claim may have succeeded; the view is read
+      // again.
       job.isStale = true;
       try {
-        const version = held?.version ?? 0;
+        const version = stored?.version ?? 0;
         const outcome = await segments.write(id, version, record);
         if (outcome.kind === 'lost') {
           metrics.countSegment('claim_lost');
--- a/src/instance/batch/segment_plan.ts
+++ b/src/instance/batch/segment_plan.ts
@@ -1,33 +1,41 @@
 /**
- * What the owner of a segment does next, and the records that it writes. Pure.
+ * Decides what the owner of a segment does next, and builds the records that it
+ * writes. Pure functions.
  *
- * Failure answered: an item that kills whoever runs it, or an item that may
- * not run twice, in a segment whose owner was lost. Symptom without it: one
- * item takes down instance after instance, or an order is carried out twice.
- * Before a group of items begins, the intent to run it is recorded; a new
- * owner sees which items may have been begun. Groups shrink with each loss,
- * until the item at fault is alone in one, and ends with an error line.
+ * A segment's owner may be lost because one of the items crashes the instance
+ * that runs it, or while items are running that may not run twice. Without this
+ * module, one item would crash instance after instance, or an order would be
+ * carried out twice.
+ *
+ * Before a group of items is started, the intent to run it is recorded, so that
+ * a new owner knows which items may have been started. Groups become smaller
+ * with each lost owner, until the item that causes the crashes is alone in a
+ * group. It then ends with an error line.
  */
-import {CAREFUL_GROUP_ITEMS, INTENT_GROUP_ITEMS} from './constants.js';
+import {GROUP_ITEMS_BY_LOSSES, MAX_INTENT_GROUP_ITEMS} from './constants.js';
 import type {ResultPart, SegmentRecord} from './records.js';
 
-/** Marks a whole segment as suspect while its number of items is unknown. */
-const WHOLE_SEGMENT = Number.MAX_SAFE_INTEGER;
+/** End of the suspect items if all items of a segment are suspect. */
+const ENTIRE_SEGMENT = Number.MAX_SAFE_INTEGER;
 
-/** What the service says of its items. */
+/** The service's rules for its items. */
 export interface SegmentRules {
-  /** Whether an item may be run again after an unclear outcome. */
+  /** Whether an item may run again after an unknown outcome. */
   idempotent: boolean;
 }
 
-/** The next step; items are counted from 0 and `to` is not included. */
+/** The next step. Item indexes start at 0; `to` is exclusive. */
 export type SegmentStep =
   | {kind: 'run'; from: number; to: number; recordIntent: boolean}
-  /** They were begun by an owner that was lost and are not begun again. */
+  /**
+   * Ends items that a lost owner may have started and that may not run again.
+   */
   | {kind: 'settle'; from: number; to: number}
   | {kind: 'finished'};
 
-/** The record of a new owner; `previous` is what the row holds, if any. */
+/**
+ * Builds the record of a new owner; `previous` is the stored record, if any.
+ */
 export function buildClaim(
   previous: SegmentRecord | undefined,
   owner: string,
@@ -44,7 +52,7 @@
   return {
     ...next,
     losses: previous.losses + 1,
-    suspectEnd: isGroupKnown ? previous.intent : WHOLE_SEGMENT,
+    suspectEnd: isGroupKnown ? previous.intent : ENTIRE_SEGMENT,
   };
 }
 
@@ -76,21 +84,23 @@
 function isRunnableAgain(record: SegmentRecord, rules: SegmentRules): boolean {
   if (!rules.idempotent) return false;
   const isAlone = record.intent - record.done === 1;
-  return !isAlone || record.losses < CAREFUL_GROUP_ITEMS.length;
+  return !isAlone || record.losses < GROUP_ITEMS_BY_LOSSES.length;
 }
 
 function chooseGroupSize(record: SegmentRecord, rules: SegmentRules): number {
-  const last = CAREFUL_GROUP_ITEMS.length - 1;
-  const careful = CAREFUL_GROUP_ITEMS[Math.min(record.losses, last)];
-  return rules.idempotent ? careful : Math.min(careful, INTENT_GROUP_ITEMS);
+  const last = GROUP_ITEMS_BY_LOSSES.length - 1;
+  const maxItems = GROUP_ITEMS_BY_LOSSES[Math.min(record.losses, last)];
+  return rules.idempotent
+    ? maxItems
+    : Math.min(maxItems, MAX_INTENT_GROUP_ITEMS);
 }
 
-/** The record before items up to `to` are begun. */
+/** Builds the record that precedes the start of items up to `to`. */
 export function buildIntent(record: SegmentRecord, to: number): SegmentRecord {
   return {...record, intent: to};
 }
 
-/** The record with the results of the next items, of `items` in all. */
+/** Builds the record that commits `part` in a segment of `items` items. */
 export function buildProgress(
   record: SegmentRecord,
   part: ResultPart,
@@ -108,8 +118,9 @@
 }
 
 /**
- * The record when an owner gives a segment back. Items that were begun and
- * have no result stay marked where they may not run twice.
+ * Builds the record with which an owner releases a segment. If items may not
+ * run twice, those that were started and have no result stay covered by the
+ * intent.
  */
 export function buildRelease(
   record: SegmentRecord,
--- a/src/instance/batch/segment_runner.ts
+++ b/src/instance/batch/segment_runner.ts
@@ -1,4 +1,4 @@
-/** Works one owned segment, group by group, to its last committed result. */
+/** Runs one owned segment group by group until all results are committed. */
 import {generateId} from '../../common/ids.js';
 import {batchItemSchema, type BatchItem} from './bundle_check.js';
 import {buildErrorLine, type ItemLine} from './item_lines.js';
@@ -16,39 +16,41 @@
 import type {SegmentWriter} from './segment_writer.js';
 import type {WorkWindow} from './work_window.js';
 
-/** One segment to work. */
+/** One segment to run. */
 export interface SegmentTask {
   segment: OwnedSegment;
   service: string;
-  /** Names the objects that hold the items. */
+  /** Part of the names of the objects that contain the items. */
   upload: string;
   window: WorkWindow;
   rules: SegmentRules;
-  /** Aborted when the job ended or the lease is lost: nothing is committed. */
+  /** Aborted when the job ended or the lease is lost; nothing is committed. */
   stop: AbortSignal;
-  /** Aborted on shutdown: no more items begin, what is done is committed. */
+  /** Aborted on shutdown; no more items start, finished items are committed. */
   drain: AbortSignal;
-  /** Told of each item that begins and ends. */
+  /** Called when an item is started and when it has ended. */
   onItem: (event: 'begun' | 'succeeded' | 'failed') => void;
-  /** Told of the number of items, once it is known. */
+  /** Called with the number of items once they are loaded. */
   onLoaded: (items: number) => void;
-  /** Told of each record that was written. */
+  /** Called with each record that was written. */
   onRecord: (segment: OwnedSegment) => void;
 }
 
-/** How the work on a segment ended. */
+/** How the run of a segment ended. */
 export type SegmentEnd = 'done' | 'released' | 'lost';
 
-/** Works segments. */
+/** Runs a segment. */
 export type SegmentRunner = (task: SegmentTask) => Promise<SegmentEnd>;
 
-/** Results of a group; what was not begun or has no result is missing. */
+/**
+ * Results of a group; items that were not started or not finished have none.
+ */
 interface GroupResult {
   lines: (ItemLine | undefined)[];
   begun: number;
 }
 
-/** Ties segments to the running of items. */
+/** Creates a runner that runs items with `items` and commits with `writer`. */
 export function createSegmentRunner(
   items: ItemRunner,
   writer: SegmentWriter,
@@ -59,18 +61,19 @@
     return body?.toString('utf8').trimEnd().split('\n');
   }
 
-  /** Begins items in order as the window lets them, and awaits them all. */
+  /** Starts items in order as the window permits, and awaits them all. */
   async function runGroup(
     task: SegmentTask,
     texts: readonly string[],
   ): Promise<GroupResult> {
     const lines: (ItemLine | undefined)[] = texts.map(() => undefined);
     const running: Promise<void>[] = [];
-    const isOver = AbortSignal.any([task.stop, task.drain]);
-    // Where none may run twice, what may have been sent is seen to its end.
+    const stopOrDrain = AbortSignal.any([task.stop, task.drain]);
+    // If items may not run twice, those that may have been sent are awaited
+    // even on shutdown.
     const drain = task.rules.idempotent ? task.drain : task.stop;
     for (const [index, text] of texts.entries()) {
-      const permit = await task.window.acquire(isOver);
+      const permit = await task.window.acquire(stopOrDrain);
       if (!permit) break;
       task.onItem('begun');
       const run = items.run(
@@ -170,7 +173,7 @@
   };
 }
 
-/** Lines up to the first that is missing: results are committed in order. */
+/** Selects the lines before the first missing one, as commits are in order. */
 function selectLeading(lines: readonly (ItemLine | undefined)[]): ItemLine[] {
   const missing = lines.indexOf(undefined);
   return lines.slice(0, missing < 0 ? undefined : missing) as ItemLine[];
@@ -191,7 +194,7 @@
   };
 }
 
-/** Items were checked when the bundle was taken in. */
+/** Parses an item, which was validated when the bundle was uploaded. */
 function parseStoredItem(text: string): BatchItem {
   return batchItemSchema.parse(JSON.parse(text));
 }
--- a/src/instance/batch/segment_store.ts
+++ b/src/instance/batch/segment_store.ts
@@ -1,15 +1,16 @@
 /**
- * Segments of jobs: who works them and what is committed of them. A segment
- * is owned by (lease incarnation, epoch).
+ * Stores the owner and the committed results of each segment of a job. A
+ * segment is owned by a lease incarnation and an epoch.
  *
- * Failure answered: an owner is paused past its lease, another takes over, and
- * the first wakes and commits. Symptom: items answered twice, an output that
- * changes between two reads. Every write expects the row's version that its
- * writer saw last; taking over writes the row, so whatever an owner from
- * before tries to write conflicts. The lease row need not be checked too: an
- * owner whose lease was expired but whose segment nobody has claimed yet may
- * well commit, and the claim then conflicts. Without that check, a commit is
- * two operations in place of three.
+ * An owner may be paused beyond its lease, another instance takes the segment
+ * over, and then the first owner continues and commits. Without protection,
+ * items would have two results and an output could change between two reads.
+ *
+ * Therefore every write expects the row version that its writer saw last. A
+ * takeover writes the row, so later writes of an earlier owner conflict. The
+ * lease row is not checked: an owner whose lease has expired may still commit
+ * while no other instance has claimed the segment, and the claim then
+ * conflicts. This reduces a commit from 3 operations to 2.
  */
 import type {Platform} from '../../stores/platform.js';
 import type {WriteOperation} from '../../stores/table_store.js';
@@ -20,35 +21,37 @@
   parseRow,
   segmentRecordSchema,
   toSegmentFields,
-  type Held,
+  type StoredRecord,
   type SegmentRecord,
 } from './records.js';
 
-/** Which segment. */
+/** Identifies a segment. */
 export interface SegmentId {
   account: string;
   jobId: string;
   index: number;
 }
 
-/** A segment as its owner holds it. */
+/** A segment with the record that its owner wrote last. */
 export interface OwnedSegment extends SegmentId {
   version: number;
   record: SegmentRecord;
 }
 
-/** How a write of an owner ended. */
+/** Outcome of a write by an owner. */
 export type SegmentOutcome =
   | {kind: 'committed'; segment: OwnedSegment}
-  /** Another owns it, or the job has ended. */
+  /** Another instance owns the segment, or the job has ended. */
   | {kind: 'lost'};
 
 /** Reads and writes segments; all methods throw StoreError. */
 export interface SegmentStore {
-  /** The segments of a job that were claimed, by index. */
-  query(jobId: string): Promise<Map<number, Held<SegmentRecord>>>;
-  find(segment: SegmentId): Promise<Held<SegmentRecord> | undefined>;
-  /** Writes the next record of a segment; `version` 0 expects no row. */
+  /** Reads the claimed segments of a job, by index. */
+  query(jobId: string): Promise<Map<number, StoredRecord<SegmentRecord>>>;
+  find(segment: SegmentId): Promise<StoredRecord<SegmentRecord> | undefined>;
+  /**
+   * Writes the next record of a segment; with `version` 0, no row must exist.
+   */
   write(
     segment: SegmentId,
     version: number,
@@ -56,7 +59,7 @@
   ): Promise<SegmentOutcome>;
 }
 
-/** Keeps segments in the platform's table. */
+/** Creates a store that uses the platform's table. */
 export function createSegmentStore({table}: Platform): SegmentStore {
   return {
     async query(jobId) {
@@ -94,8 +97,8 @@
 }
 
 /**
- * A cancelled job takes no more results: its row is checked in the same
- * transaction, so the table orders a cancel and a commit that race.
+ * Checks in the transaction of a commit that the job is open. A cancelled job
+ * accepts no results, and the table orders a concurrent cancel and commit.
  */
 function buildOpenJobCheck({account, jobId}: SegmentId): WriteOperation {
   return {
--- a/src/instance/batch/segment_writer.ts
+++ b/src/instance/batch/segment_writer.ts
@@ -1,18 +1,20 @@
 /**
- * Writes of a segment's owner, carried to a clear outcome however long the
- * store is down.
+ * Retries the writes of a segment's owner until their outcome is known, however
+ * long the store is down.
  *
- * Failure answered: the answer of a write is lost after it took effect.
- * Symptom without this: the owner takes its own commit for another's and drops
- * a committed result, or writes it twice. Reading the row back is enough: only
- * this owner writes records with its epoch, one after another, so a row of the
- * next version with its epoch is its own write.
+ * The response to a write may be lost after the write took effect. Without this
+ * module, the owner would mistake its own commit for another owner's and drop a
+ * committed result, or write it twice.
+ *
+ * It is sufficient to read the row back: only this owner writes records with
+ * its epoch, one after another, so a row of the next version with its epoch is
+ * its own write.
  */
 import type {Clock} from '../../common/clock.js';
 import type {ObjectStore} from '../../stores/object_store.js';
 import {StoreError} from '../../stores/table_store.js';
 import {waitUntilAborted} from './abort.js';
-import {STORE_RETRY_MS} from './constants.js';
+import {STORE_RETRY_DELAY_MS} from './constants.js';
 import type {SegmentRecord} from './records.js';
 import type {
   OwnedSegment,
@@ -20,8 +22,9 @@
   SegmentStore,
 } from './segment_store.js';
 
-/** Writes that wait for the store. All end as `lost` when `signal` aborts. */
+/** Store calls that are retried until they succeed or `signal` aborts. */
 export interface SegmentWriter {
+  /** The outcome is `lost` when `signal` aborted first. */
   writeRecord(
     segment: OwnedSegment,
     next: SegmentRecord,
@@ -29,18 +32,21 @@
   ): Promise<SegmentOutcome>;
   /** False when `signal` aborted first. */
   putObject(name: string, body: Buffer, signal: AbortSignal): Promise<boolean>;
-  /** Undefined when `signal` aborted first; throws when there is none. */
+  /**
+   * Undefined when `signal` aborted first; throws when the object is missing.
+   */
   getObject(name: string, signal: AbortSignal): Promise<Buffer | undefined>;
 }
 
-/** What the writer works with. */
 export interface SegmentWriterDependencies {
   clock: Clock;
   objects: ObjectStore;
   segments: SegmentStore;
 }
 
-/** Tries again every STORE_RETRY_MS while the store gives no answer. */
+/**
+ * Creates a writer that retries every STORE_RETRY_DELAY_MS after a StoreError.
+ */
 export function createSegmentWriter({
   clock,
   objects,
@@ -55,27 +61,27 @@
         return await task();
       } catch (thrown) {
         if (!(thrown instanceof StoreError)) throw thrown;
-        await waitUntilAborted(clock, STORE_RETRY_MS, signal);
+        await waitUntilAborted(clock, STORE_RETRY_DELAY_MS, signal);
       }
     }
     return undefined;
   }
 
-  /** Whether `next` is in the table, or the row still is as it was before. */
+  /** Determines whether `next` was written, was not, or the segment is lost. */
   async function readBack(
     segment: OwnedSegment,
     next: SegmentRecord,
   ): Promise<SegmentOutcome | 'unwritten'> {
-    const held = await segments.find(segment);
-    if (held?.version === segment.version) return 'unwritten';
+    const stored = await segments.find(segment);
+    if (stored?.version === segment.version) return 'unwritten';
     const isOwn =
-      held?.version === segment.version + 1 &&
-      held.record.owner === next.owner &&
-      held.record.epoch === next.epoch;
+      stored?.version === segment.version + 1 &&
+      stored.record.owner === next.owner &&
+      stored.record.epoch === next.epoch;
     if (!isOwn) return {kind: 'lost'};
     return {
       kind: 'committed',
-      segment: {...segment, version: held.version, record: held.record},
+      segment: {...segment, version: stored.version, record: stored.record},
     };
   }
 
--- a/src/instance/batch/service_worker.ts
+++ b/src/instance/batch/service_worker.ts
@@ -1,6 +1,7 @@
 /**
- * Works the open jobs of one service: finds them, claims segments, takes over
- * those whose owner is gone, and ends jobs whose results are whole.
+ * Runs the open jobs of one service: finds them, claims segments, takes over
+ * segments whose owner is gone, and completes jobs whose results are all
+ * committed.
  */
 import type {Clock} from '../../common/clock.js';
 import {hashText} from '../../common/ids.js';
@@ -11,10 +12,10 @@
   type JobCandidate,
 } from '../../decisions/segment_order.js';
 import {
-  SEGMENT_ITEMS,
-  SEGMENTS_REFRESH_MS,
+  MAX_SEGMENT_ITEMS,
+  SEGMENTS_REFRESH_INTERVAL_MS,
   URGENT_CREDIT_ITEMS,
-  WORK_POLL_MS,
+  WORK_POLL_INTERVAL_MS,
 } from './constants.js';
 import {summarizeSegments} from './job_output.js';
 import type {JobStore} from './job_store.js';
@@ -22,7 +23,7 @@
   countRemainingItems,
   createJobView,
   findOpenSegment,
-  isWhole,
+  isComplete,
   listForeignSegments,
   updateView,
   type JobView,
@@ -40,35 +41,34 @@
 } from './segment_launcher.js';
 import type {SegmentEnd} from './segment_runner.js';
 
-/** Judges whether an owner is gone for good; see LeaseObserver. */
+/** Checks whether the lease of an owner has expired; see LeaseObserver. */
 export type OwnerCheck = (incarnation: string, now: number) => Promise<boolean>;
 
-/** What a worker works with. */
 export interface ServiceWorkerDependencies extends SegmentLauncherDependencies {
   clock: Clock;
   platform: Platform;
   jobs: JobStore;
-  checkOwnerOver: OwnerCheck;
-  /** Undefined while the lease may not be used. */
+  checkOwnerExpired: OwnerCheck;
+  /** Undefined while the lease is not held. */
   findOwnership: () => Ownership | undefined;
-  /** Spreads instances over the segments of a job. */
+  /** Determines at which segment of a job this instance starts. */
   incarnation: string;
 }
 
 /** The worker of one service on this instance. */
 export interface ServiceWorker {
-  /** Looks for jobs and ended ones; throws StoreError without an answer. */
+  /** Finds new and ended jobs, and takes over segments; throws StoreError. */
   poll(now: number): Promise<void>;
   /** Claims segments while there is room; throws StoreError. */
   acquireSegments(): Promise<void>;
-  /** Whether segments are under way. */
+  /** Whether segments are in progress. */
   isRunning(): boolean;
-  /** Resolves when every segment under way has ended. */
+  /** Resolves when no segment is in progress. */
   awaitIdle(): Promise<void>;
   describeState(): object;
 }
 
-/** Starts without jobs; `poll` finds them. */
+/** Creates a worker without jobs; `poll` finds them. */
 export function createServiceWorker(
   service: string,
   dependencies: ServiceWorkerDependencies,
@@ -78,11 +78,11 @@
   const views = new Map<string, JobView>();
   const order = createSegmentOrder(URGENT_CREDIT_ITEMS);
   const launcher = createSegmentLauncher(service, dependencies, {
-    onRoom: () => void runQuietly(acquireSegments),
+    onRoom: () => void runCountingStoreErrors(acquireSegments),
     onEnd: handleEnd,
   });
   let polledAt = -Infinity;
-  let isFilling = false;
+  let isAcquiring = false;
 
   async function readWork() {
     const rows = await platform.table.query(buildWorkPartition(service));
@@ -99,28 +99,32 @@
     }
   }
 
-  /** Instances start at different segments, so that few claims collide. */
+  /** Chooses a start segment by incarnation, so that few claims conflict. */
   function chooseStart(jobId: string): number {
     const digest = hashText(`${dependencies.incarnation}\n${jobId}`);
     return parseInt(digest.slice(0, 8), 16);
   }
 
-  /** The job has ended: what runs of it stops. */
+  /** Stops the segments of a job that has ended. */
   function closeView(job: JobView) {
     views.delete(job.id);
     job.ended.abort();
   }
 
   async function updateJob(job: JobView, now: number) {
-    const isOthers =
+    const hasForeign =
       listForeignSegments(job).length > 0 ||
       job.segments.size < job.work.segments;
-    const isDue = isOthers && now - job.refreshedAt >= SEGMENTS_REFRESH_MS;
+    const isDue =
+      hasForeign && now - job.refreshedAt >= SEGMENTS_REFRESH_INTERVAL_MS;
     if (!job.isStale && !isDue) return;
     updateView(job, await segments.query(job.id), now);
   }
 
-  /** A segment that is done stays as it is, so the view can be trusted. */
+  /**
+   * Completes a job. The view may be out of date, but segments that are done do
+   * not change.
+   */
   async function finishJob(job: JobView) {
     const summary = summarizeSegments(job.segments);
     const {account} = job.work;
@@ -135,16 +139,23 @@
     closeView(job);
   }
 
-  /** The last instance to end a segment looks at once whether all are done. */
+  /**
+   * Completes a job whose segments are all done. Marks the view as stale after
+   * the last segment of this instance, so that the next poll reads whether the
+   * segments of other instances are done.
+   */
   function handleEnd(job: JobView, end: SegmentEnd) {
     const isLast = job.running.size === 0 && findOpenSegment(job) === undefined;
     if (end === 'lost' || isLast) job.isStale = true;
-    if (end === 'done' && isWhole(job)) void runQuietly(() => finishJob(job));
-    void runQuietly(acquireSegments);
+    if (end === 'done' && isComplete(job))
+      void runCountingStoreErrors(() => finishJob(job));
+    void runCountingStoreErrors(acquireSegments);
   }
 
-  /** Between polls; what the store does not answer is met again by the next. */
-  async function runQuietly(task: () => Promise<void>) {
+  /**
+   * Runs a task between polls and counts a StoreError; the next poll retries.
+   */
+  async function runCountingStoreErrors(task: () => Promise<void>) {
     try {
       await task();
     } catch (thrown) {
@@ -174,36 +185,39 @@
   async function acquireNext(ownership: Ownership): Promise<boolean> {
     const candidates = listCandidates();
     if (candidates.length === 0) return false;
-    const chosen = order.chooseJob(candidates, clock.wallNow());
-    const job = chosen && views.get(chosen.jobId);
+    const candidate = order.chooseJob(candidates, clock.wallNow());
+    const job = candidate && views.get(candidate.jobId);
     const index = job && findOpenSegment(job);
     if (!job || index === undefined) return false;
     if (!(await launcher.acquire(job, index, ownership))) return true;
-    order.noteClaimed(chosen.account, SEGMENT_ITEMS, chosen.weight);
+    order.noteClaimed(candidate.account, MAX_SEGMENT_ITEMS, candidate.weight);
     return true;
   }
 
   async function acquireSegments() {
-    if (isFilling) return;
-    isFilling = true;
+    if (isAcquiring) return;
+    isAcquiring = true;
     try {
       while (launcher.hasRoom() && !dependencies.drain.aborted) {
         const ownership = dependencies.findOwnership();
         if (!ownership || !(await acquireNext(ownership))) return;
       }
     } finally {
-      isFilling = false;
+      isAcquiring = false;
     }
   }
 
-  /** One's own segment that one does not work was claimed without an answer. */
-  async function isOwnerOver(
+  /**
+   * A segment that this instance owns but does not run was claimed by a write
+   * without a response, and may be claimed again.
+   */
+  async function isOwnerGone(
     record: SegmentRecord,
     ownership: Ownership,
     now: number,
   ): Promise<boolean> {
     if (record.owner === ownership.incarnation) return true;
-    return dependencies.checkOwnerOver(record.owner, now);
+    return dependencies.checkOwnerExpired(record.owner, now);
   }
 
   async function takeOverSegments(job: JobView, now: number) {
@@ -211,21 +225,21 @@
       const ownership = dependencies.findOwnership();
       if (!ownership || dependencies.drain.aborted || !launcher.hasRoom())
         return;
-      const isOver = await isOwnerOver(record, ownership, now);
-      if (!isOver || job.running.has(index)) continue;
+      const isGone = await isOwnerGone(record, ownership, now);
+      if (!isGone || job.running.has(index)) continue;
       await launcher.acquire(job, index, ownership);
     }
   }
 
   return {
     async poll(now) {
-      if (now - polledAt < WORK_POLL_MS) return;
+      if (now - polledAt < WORK_POLL_INTERVAL_MS) return;
       order.noteRate(launcher.takeEndedItems(), now - polledAt);
       polledAt = now;
       await readWork();
       for (const job of [...views.values()]) {
         await updateJob(job, now);
-        if (isWhole(job)) await finishJob(job);
+        if (isComplete(job)) await finishJob(job);
         else await takeOverSegments(job, now);
       }
     },
--- a/src/instance/batch/store_failure.ts
+++ b/src/instance/batch/store_failure.ts
@@ -1,15 +1,15 @@
-/** What callers are told when the platform's store gives no answer. */
+/** Converts failures of the platform's store to errors for callers. */
 import {RouterError} from '../../common/errors.js';
 import {StoreError} from '../../stores/table_store.js';
 
 const RETRY_AFTER_MS = 2000;
 
 /**
- * Runs `task`; a StoreError becomes `store_unavailable`. Everything callers
- * ask of batch may be sent again: files are named by their content, jobs by
- * their idempotency key, and a cancelled job stays so.
+ * Runs `task` and converts a StoreError to `store_unavailable`. Callers may
+ * resend all batch requests: files are named by their content, jobs by their
+ * idempotency key, and a cancelled job stays cancelled.
  */
-export async function withStoreFailure<Result>(
+export async function convertStoreErrors<Result>(
   task: () => Promise<Result>,
 ): Promise<Result> {
   try {
@@ -19,7 +19,7 @@
   }
 }
 
-/** A StoreError as callers see it; other values are left as they are. */
+/** Converts a StoreError to a RouterError; returns other values unchanged. */
 export function toCallerError(thrown: unknown): unknown {
   if (!(thrown instanceof StoreError)) return thrown;
   return new RouterError(
--- a/src/instance/batch/upload_body.ts
+++ b/src/instance/batch/upload_body.ts
@@ -1,4 +1,7 @@
-/** The content of an upload: a multipart form as the OpenAI libraries send, or the bare lines. */
+/**
+ * Reads the content of an upload: a multipart form, as the OpenAI libraries
+ * send it, or the plain lines.
+ */
 import type {IncomingMessage} from 'node:http';
 import type {Readable} from 'node:stream';
 import busboy from 'busboy';
@@ -16,7 +19,7 @@
   content: AsyncIterable<Buffer>;
 }
 
-/** Resolves when the content begins; throws RouterError for a bad form. */
+/** Resolves when the content starts; throws RouterError for an invalid form. */
 export async function openUpload(
   request: IncomingMessage,
 ): Promise<UploadBody> {
@@ -34,12 +37,14 @@
       const content = readFormFile(file, fields, form);
       resolve({filename: filename ?? UNNAMED_FILE, content});
     });
-    form.on('close', () => reject(refuseForm('file', 'the form has no file')));
+    form.on('close', () =>
+      reject(buildFormError('file', 'the form has no file')),
+    );
     form.on('error', error =>
-      reject(refuseForm('file', (error as Error).message)),
+      reject(buildFormError('file', (error as Error).message)),
     );
     request.on('close', () => {
-      if (!request.complete) form.destroy(refuseForm('file', 'cut off'));
+      if (!request.complete) form.destroy(buildFormError('file', 'cut off'));
     });
     request.pipe(form);
   });
@@ -57,11 +62,11 @@
       },
     });
   } catch (error) {
-    throw refuseForm('content-type', (error as Error).message);
+    throw buildFormError('content-type', (error as Error).message);
   }
 }
 
-/** The purpose may come after the file, so it is checked at the end. */
+/** Streams the file. Its purpose may follow it, so it is checked at the end. */
 async function* readFormFile(
   file: Readable,
   fields: ReadonlyMap<string, string>,
@@ -70,23 +75,23 @@
   const closed = new Promise<void>((resolve, reject) => {
     form.on('close', resolve);
     form.on('error', error =>
-      reject(refuseForm('file', (error as Error).message)),
+      reject(buildFormError('file', (error as Error).message)),
     );
   });
   closed.catch(() => {});
   try {
     for await (const chunk of file) yield chunk as Buffer;
   } catch (error) {
-    throw refuseForm('file', (error as Error).message);
+    throw buildFormError('file', (error as Error).message);
   }
   await closed;
   const purpose = fields.get('purpose');
   if (purpose !== undefined && purpose !== BATCH_PURPOSE) {
-    throw refuseForm('purpose', `must be '${BATCH_PURPOSE}'`);
+    throw buildFormError('purpose', `must be '${BATCH_PURPOSE}'`);
   }
 }
 
-function refuseForm(field: string, message: string): RouterError {
+function buildFormError(field: string, message: string): RouterError {
   return new RouterError('invalid_request', `${field}: ${message}`, {
     verdict: 'not-run',
     field,
--- a/src/instance/batch/work_window.ts
+++ b/src/instance/batch/work_window.ts
@@ -1,24 +1,26 @@
 /**
- * How many items of a service an instance has under way. Items wait for slots
- * in the dispatcher's queue; a bounded number is kept waiting there, so that
- * slots fill as they fall free and the rest stays here, where a cancelled job
- * or a more urgent one still changes what goes next.
+ * Limits the items of a service that an instance has in progress. Items wait
+ * for slots in the dispatcher's queue. A limited number waits there, so that
+ * slots are filled as they become free. The others wait here, where a cancelled
+ * or a more urgent job can still change which item is next.
  */
 import {MAX_ACTIVE_ITEMS, MAX_WAITING_ITEMS} from './constants.js';
 
-/** Leave to send one item. */
+/** Permission to send one item. */
 export interface Permit {
-  /** An endpoint has begun to answer: the item waits no more. */
+  /**
+   * Marks that an endpoint has started to respond, so the item no longer waits.
+   */
   markStarted(): void;
-  /** Called once, when the try has ended. */
+  /** Called once, when the attempt has ended. */
   release(): void;
 }
 
-/** The items under way. */
+/** Limits the items in progress. */
 export interface WorkWindow {
   /** Waits for a permit; undefined when `signal` aborts first. */
   acquire(signal: AbortSignal): Promise<Permit | undefined>;
-  /** Permits asked for and not yet given. */
+  /** Number of calls of `acquire` that wait for a permit. */
   countQueued(): number;
   describe(): object;
 }
@@ -27,7 +29,7 @@
   resolve(permit: Permit | undefined): void;
 }
 
-/** Sizes of a window. */
+/** Limits of a window, in items. */
 export interface WindowLimits {
   maxWaiting: number;
   maxActive: number;
@@ -38,7 +40,7 @@
   maxActive: MAX_ACTIVE_ITEMS,
 };
 
-/** Starts empty; permits are given in the order in which they are asked for. */
+/** Creates a window that gives permits in the order of the calls. */
 export function createWorkWindow(limits = DEFAULT_LIMITS): WorkWindow {
   const queue = new Set<Waiter>();
   let waiting = 0;
--- a/src/instance/bundles/bundle_types.ts
+++ b/src/instance/bundles/bundle_types.ts
@@ -40,7 +40,7 @@
   /** Incremented at each change of owner; earlier owners cannot commit. */
   epoch: z.number(),
   acceptedAt: z.number(),
-  /** Name of the object that holds the items. */
+  /** Name of the object that contains the items. */
   object: z.string(),
   /** SHA-256 of the items. */
   digest: z.string(),
--- a/src/instance/bundles/constants.ts
+++ b/src/instance/bundles/constants.ts
@@ -43,7 +43,7 @@
 /** Results are collected for this long and committed together. */
 export const COMMIT_DELAY_MS = 40;
 
-/** Delay after a commit that the store did not answer. */
+/** Delay after a commit that the store did not respond to. */
 export const COMMIT_RETRY_MS = 300;
 
 /** Interval at which a long-polling read checks for new results. */
