--- a/src/instance/gateway/answer_relay.ts
+++ b/src/instance/gateway/answer_relay.ts
@@ -1,28 +1,34 @@
 /**
- * Passes an endpoint's answer on to its caller unchanged, over one run or, for
- * a stream that may be taken up elsewhere, over several.
+ * Forwards an endpoint's response to the caller unchanged. A resumable stream
+ * may be assembled from several runs on different endpoints.
  */
 import type {IncomingHttpHeaders, ServerResponse} from 'node:http';
 import {createEventSplitter, type EventSplitter} from './event_splitter.js';
 import type {RunListener} from './slot_run.js';
 
-/** The way to one caller. */
+/** Forwards the response of one request to its caller. */
 export interface AnswerRelay {
-  /** A listener for the next run. `isLast`: no other endpoint may run it. */
-  openRun(isLast: boolean): RunListener;
-  /** Whether the caller has the head of an answer. */
+  /**
+   * Returns the listener of the next run. After a run with `isLastAttempt`, no
+   * other endpoint may run the request.
+   */
+  openRun(isLastAttempt: boolean): RunListener;
+  /** Whether the response head was sent to the caller. */
   hasBegun(): boolean;
-  /** Whether the answer, as far as it came, stops between two events. */
+  /** Whether the bytes received so far end at an event boundary. */
   isAtEventEnd(): boolean;
-  /** Id of the last whole event that was passed on. */
+  /** Id of the last complete event that was forwarded. */
   getLastId(): string | undefined;
-  /** The answer is whole. */
+  /** Ends a complete response. */
   finish(): void;
-  /** The answer cannot be made whole: the caller must see that. */
-  breakOff(): void;
+  /**
+   * Closes the connection, so that the caller sees that the response is
+   * incomplete.
+   */
+  abort(): void;
 }
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers, which are not forwarded. */
 export const CONNECTION_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -35,7 +41,7 @@
   'upgrade',
 ]);
 
-/** `isResumable`: only whole events are passed on. */
+/** If `isResumable`, only complete events are forwarded. */
 export function createAnswerRelay(
   response: ServerResponse,
   {isResumable, mayRepeat}: {isResumable: boolean; mayRepeat: boolean},
@@ -44,19 +50,24 @@
   let lastId: string | undefined;
 
   function writeHead(status: number, headers: IncomingHttpHeaders) {
-    const kept = Object.entries(headers).filter(
-      ([name, value]) => value !== undefined && isPassedOn(name),
+    const forwarded = Object.entries(headers).filter(
+      ([name, value]) => value !== undefined && isForwarded(name),
     );
-    response.writeHead(status, Object.fromEntries(kept));
+    response.writeHead(status, Object.fromEntries(forwarded));
   }
 
-  /** What another endpoint adds changes the length of a resumable stream. */
-  function isPassedOn(name: string): boolean {
+  /**
+   * A resumable stream has no known length: another endpoint may continue it.
+   */
+  function isForwarded(name: string): boolean {
     if (CONNECTION_HEADERS.has(name)) return false;
     return !(isResumable && name === 'content-length');
   }
 
-  /** The first event of a run that goes on after `after` must be the next. */
+  /**
+   * Throws unless the first event of a run resumed after `after` is the next
+   * one.
+   */
   function checkResumed(run: EventSplitter, after: string | undefined) {
     const id = run.getFirstId();
     if (after === undefined || id === undefined) return;
@@ -71,39 +82,39 @@
   }
 
   return {
-    openRun(isLast) {
-      const after = lastId;
-      let own: EventSplitter;
+    openRun(isLastAttempt) {
+      const resumedAfter = lastId;
+      let runSplitter: EventSplitter;
       return {
         onAnswer(status, headers) {
-          if (status >= 500 && mayRepeat && !isLast) return 'discard';
+          if (status >= 500 && mayRepeat && !isLastAttempt) return 'discard';
           if (response.headersSent && status !== 200) {
             throw new Error(`resuming was answered with ${status}`);
           }
-          own = createEventSplitter();
-          splitter = own;
+          runSplitter = createEventSplitter();
+          splitter = runSplitter;
           if (!response.headersSent) writeHead(status, headers);
           return 'take';
         },
         onData(chunk, resume) {
-          const events = own.push(chunk);
+          const events = runSplitter.push(chunk);
           if (!isResumable) return writeChunk(chunk, resume);
-          checkResumed(own, after);
-          const id = own.getLastId();
-          const more = writeChunk(events, resume);
+          checkResumed(runSplitter, resumedAfter);
+          const id = runSplitter.getLastId();
+          const wantsMore = writeChunk(events, resume);
           lastId = id ?? lastId;
-          return more;
+          return wantsMore;
         },
       };
     },
     hasBegun: () => response.headersSent,
-    isAtEventEnd: () => (splitter?.getRest().length ?? 0) === 0,
+    isAtEventEnd: () => (splitter?.getPartialEvent().length ?? 0) === 0,
     getLastId: () => lastId,
     finish() {
-      const rest = splitter?.getRest();
-      if (isResumable && rest && rest.length > 0) response.write(rest);
+      const partial = splitter?.getPartialEvent();
+      if (isResumable && partial && partial.length > 0) response.write(partial);
       response.end();
     },
-    breakOff: () => void response.destroy(),
+    abort: () => void response.destroy(),
   };
 }
--- a/src/instance/gateway/constants.ts
+++ b/src/instance/gateway/constants.ts
@@ -1,44 +1,49 @@
-/** Constants of the gateway. Times in ms. */
+/** Constants of the gateway. Times are in ms. */
 
 /**
- * Longest wait for a connection to an endpoint. One way takes 0.5 ms; a lost
- * opening packet is sent again after a second, which is later than the first
- * event should be.
+ * Timeout for connecting to an endpoint. One network hop takes 0.5 ms. TCP
+ * resends a lost SYN only after one second, which is later than the first event
+ * is due.
  */
 export const CONNECT_TIMEOUT_MS = 400;
 
-/** Oldest a kept connection may be: bounds how long a dead one can wait. */
+/**
+ * Maximum age of a pooled connection; bounds how long a dead one stays in the
+ * pool.
+ */
 export const MAX_CONNECTION_AGE_MS = 60_000;
 
 /**
- * A stream that may be taken up elsewhere is taken up after this much silence.
- * Endpoints make an event every 30 to 60 ms, callers give a stream up after
- * 2,400 ms without one; this leaves time for another start.
+ * A resumable stream that sends no data for this long is resumed on another
+ * endpoint. Endpoints emit an event every 30 to 60 ms, and callers give up on a
+ * stream after 2,400 ms without one, so this leaves time to resume it.
  */
 export const STREAM_SILENCE_MS = 1000;
 
-/** Sends that certainly did not run which one request may use up. */
-export const MAX_UNRUN_SENDS = 4;
+/** Sends of one request that may end with proof that it did not run. */
+export const MAX_NOT_RUN_SENDS = 4;
 
-/** Share of a caller's patience for the first event that may pass unserved. */
-export const START_SHARE = 0.5;
+/**
+ * Share of a caller's first-event timeout that may pass before it has a slot.
+ */
+export const FIRST_SLOT_TIMEOUT_SHARE = 0.5;
 
-/** What a request that names no patience is given, in ms. */
-export const DEFAULT_PATIENCE_MS = 30_000;
+/** Timeout of a request that names none. */
+export const DEFAULT_REQUEST_TIMEOUT_MS = 30_000;
 
-/** A request with less time left than this is not sent any more. */
+/** A request with less time than this left is not sent to an endpoint. */
 export const MIN_REMAINING_MS = 10;
 
-/** When a caller may come back to an instance that cannot serve it yet. */
-export const UNREADY_RETRY_MS = 500;
+/** Retry-After for requests to an instance that cannot serve them yet. */
+export const UNREADY_RETRY_AFTER_MS = 500;
 
-/** When a caller may come back after every try met an endpoint that refused. */
-export const REFUSED_RETRY_MS = 200;
+/** Retry-After for requests whose every attempt was refused by the endpoint. */
+export const REFUSED_RETRY_AFTER_MS = 200;
 
-/** Longest time in which a request must have been received whole. */
+/** A request must be received completely within this time. */
 export const RECEIVE_TIMEOUT_MS = 30_000;
 
-/** Buckets of the histogram of requests' durations, in ms. */
+/** Upper bounds of the request duration histogram. */
 export const REQUEST_BUCKETS_MS = [
   25, 50, 75, 100, 150, 200, 300, 400, 600, 1000, 2000, 5000,
 ];
--- a/src/instance/gateway/endpoint_exchange.ts
+++ b/src/instance/gateway/endpoint_exchange.ts
@@ -1,9 +1,9 @@
-/** One request and its answer on a connection to an endpoint. */
+/** Sends one request to an endpoint and reads its response. */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Dispatcher} from 'undici';
 import {isConnectionLost} from '../endpoints/connection_loss.js';
 
-/** What is sent. */
+/** The request to send. */
 export interface EndpointRequest {
   address: string;
   method: string;
@@ -14,7 +14,7 @@
   body: Buffer;
 }
 
-/** Told of the answer as it comes; may throw to break the exchange off. */
+/** Receives the response as it arrives; may throw to abort the exchange. */
 export interface AnswerListener {
   onHead(status: number, headers: IncomingHttpHeaders): void;
   onData(chunk: Buffer): void;
@@ -25,22 +25,22 @@
   | {kind: 'complete'}
   /** No byte of the request was written to a connection. */
   | {kind: 'never-sent'; isTimeout: boolean; error: Error}
-  /** The request was sent; what came of it is not known. */
+  /** The request was sent, and whether it ran is unknown. */
   | {kind: 'broken'; error: Error; isConnectionLost: boolean};
 
-/** A running exchange. */
+/** An exchange in progress. */
 export interface EndpointExchange {
   ended: Promise<ExchangeEnd>;
-  /** Ends it and its connection. */
+  /** Ends the exchange and closes its connection. */
   abort(reason: Error): void;
-  /** Takes no more bytes until `resume`. */
+  /** Stops reading the response until `resume`. */
   pause(): void;
   resume(): void;
 }
 
 const CONNECT_TIMEOUT_CODE = 'UND_ERR_CONNECT_TIMEOUT';
 
-/** Sends at once. */
+/** Sends the request immediately. */
 export function openExchange(
   dispatcher: Dispatcher,
   request: EndpointRequest,
@@ -78,8 +78,8 @@
       bodyTimeout: 0,
     },
     {
-      // Called when a connection is there and the request is about to be
-      // written: whatever fails before has sent nothing.
+      // Called once connected, just before the request is written: after an
+      // earlier failure, no byte was sent.
       onRequestStart(started) {
         if (abortReason) {
           started.abort(abortReason);
@@ -101,8 +101,9 @@
     abort(reason) {
       abortReason ??= reason;
       controller?.abort(reason);
-      // Without a connection yet there is nothing to abort; what is queued is
-      // dropped when its turn comes, and nobody need wait for that.
+      // Before a connection exists there is nothing to abort. The queued
+      // request is dropped when its connection opens; the caller does not wait
+      // for that.
       if (!controller) fail(reason);
     },
     pause: () => controller?.pause(),
--- a/src/instance/gateway/event_splitter.test.ts
+++ b/src/instance/gateway/event_splitter.test.ts
@@ -1,4 +1,4 @@
-/** Streams cut at any byte, and taken up again. */
+/** Event streams that break at any byte and are resumed. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
@@ -10,7 +10,7 @@
 );
 const STREAM = Buffer.from(EVENTS.join(''));
 
-/** The stream in pieces that end at the given bytes. */
+/** Splits the stream into pieces that end at the given offsets. */
 function splitAt(bytes: Buffer, cuts: readonly number[]): Buffer[] {
   const ends = [...cuts, bytes.length].sort((a, b) => a - b);
   let from = 0;
@@ -25,40 +25,40 @@
   maxLength: 8,
 });
 
-describe('an event stream in pieces', () => {
-  it('passes whole events on unchanged, wherever it is cut', () => {
+describe('event splitter', () => {
+  it('returns complete events unchanged for any chunk boundaries', () => {
     fc.assert(
       fc.property(cutsArbitrary, cuts => {
         const splitter = createEventSplitter();
         const passed = splitAt(STREAM, cuts).map(piece => splitter.push(piece));
         assert.deepEqual(Buffer.concat(passed), STREAM);
-        assert.equal(splitter.getRest().length, 0);
+        assert.equal(splitter.getPartialEvent().length, 0);
         assert.equal(splitter.getFirstId(), '1');
         assert.equal(splitter.getLastId(), '4');
       }),
     );
   });
 
-  it('holds back half an event, and tells the last whole one', () => {
+  it('withholds a partial event and reports the id of the last complete one', () => {
     fc.assert(
       fc.property(fc.integer({min: 0, max: STREAM.length}), end => {
         const splitter = createEventSplitter();
         const passed = splitter.push(STREAM.subarray(0, end)).toString();
-        const whole = EVENTS.filter((_, index) =>
+        const complete = EVENTS.filter((_, index) =>
           STREAM.subarray(0, end)
             .toString()
             .startsWith(EVENTS.slice(0, index + 1).join('')),
         );
-        assert.equal(passed, whole.join(''));
-        const last = whole.length > 0 ? String(whole.length) : undefined;
+        assert.equal(passed, complete.join(''));
+        const last = complete.length > 0 ? String(complete.length) : undefined;
         assert.equal(splitter.getLastId(), last);
       }),
     );
   });
 });
 
-describe("an item's text over several runs", () => {
-  it('is whole and without repeats wherever the first run broke', () => {
+describe("an item's text assembled from several runs", () => {
+  it('is complete and has no duplicates wherever the first run broke off', () => {
     fc.assert(
       fc.property(fc.integer({min: 0, max: STREAM.length}), end => {
         const text = createItemText();
@@ -71,14 +71,15 @@
     );
   });
 
-  it('takes in no event out of turn', () => {
+  it('rejects an event out of sequence', () => {
     const text = createItemText();
     createItemTextReader(text).push(Buffer.from(EVENTS[0]));
-    const again = () => createItemTextReader(text).push(Buffer.from(EVENTS[2]));
-    assert.throws(again, /event 3 follows event 1/);
+    const pushThird = () =>
+      createItemTextReader(text).push(Buffer.from(EVENTS[2]));
+    assert.throws(pushThird, /event 3 follows event 1/);
   });
 
-  it('tells a run that stopped inside an event', () => {
+  it('detects a run that stopped inside an event', () => {
     const reader = createItemTextReader(createItemText());
     reader.push(Buffer.from(EVENTS[0]));
     assert.equal(reader.hasRest(), false);
--- a/src/instance/gateway/event_splitter.ts
+++ b/src/instance/gateway/event_splitter.ts
@@ -1,25 +1,27 @@
 /**
- * Splits the bytes of an event stream after whole events, without changing
- * them, so that a stream can be taken up by another endpoint: half an event
- * that was cut off is dropped, and the rest is asked for after the last id.
+ * Splits the bytes of an event stream at event boundaries without changing
+ * them, so that another endpoint can resume a broken stream: a partial event is
+ * dropped, and the stream is requested from after the last complete event's id.
  */
 
-/** Bytes that end an event, and ids of the events that ended. */
+/** Splits one run's stream and records the ids of its complete events. */
 export interface EventSplitter {
-  /** The bytes up to the end of the last whole event; may be empty. */
+  /**
+   * Returns the bytes up to the end of the last complete event; may be empty.
+   */
   push(chunk: Buffer): Buffer;
-  /** Id of the last whole event; undefined before the first that has one. */
+  /** Id of the last complete event; undefined before the first that has one. */
   getLastId(): string | undefined;
-  /** Id of the first whole event. */
+  /** Id of the first complete event. */
   getFirstId(): string | undefined;
   /** Bytes of an event that has not ended. */
-  getRest(): Buffer;
+  getPartialEvent(): Buffer;
 }
 
 const EVENT_END = Buffer.from('\n\n');
 const ID_LINE = /^id: ?(.*)$/gm;
 
-/** Starts at the beginning of a stream, or after a whole event of it. */
+/** The first chunk must start at the beginning of an event. */
 export function createEventSplitter(): EventSplitter {
   let rest: Buffer = Buffer.alloc(0);
   let firstId: string | undefined;
@@ -47,6 +49,6 @@
     },
     getLastId: () => lastId,
     getFirstId: () => firstId,
-    getRest: () => rest,
+    getPartialEvent: () => rest,
   };
 }
--- a/src/instance/gateway/gateway.ts
+++ b/src/instance/gateway/gateway.ts
@@ -1,4 +1,6 @@
-/** The gateway's listener: finds the route and the account of each request. */
+/**
+ * HTTP server of the gateway: finds the route and the account of each request.
+ */
 import {createServer, type IncomingMessage, type Server} from 'node:http';
 import type {Socket} from 'node:net';
 import type {Clock} from '../../common/clock.js';
@@ -27,13 +29,12 @@
 import {
   REQUEST_BUCKETS_MS,
   RECEIVE_TIMEOUT_MS,
-  UNREADY_RETRY_MS,
+  UNREADY_RETRY_AFTER_MS,
 } from './constants.js';
 import type {BundleCall, CallerProtocol, CallerRequest} from './protocols.js';
 import {respondRefusal} from './refusals.js';
 import type {Relay} from './relay.js';
 
-/** What the gateway works with. */
 export interface GatewayDependencies {
   clock: Clock;
   log: Log;
@@ -44,16 +45,16 @@
   bundles: Bundles;
 }
 
-/** The running listener. */
+/** The running HTTP server. */
 export interface Gateway extends StateSource {
   address: string;
-  /** From now on, each answer is its connection's last. */
+  /** From now on, connections close after their current response. */
   startDraining(): void;
-  /** Resolves when all answers have ended, or `boundMs` is over. */
+  /** Resolves when all responses have ended, at the latest after `boundMs`. */
   drain(boundMs: number): Promise<void>;
 }
 
-/** Starts to listen; port 0 takes a free one. */
+/** Starts to listen; port 0 selects a free port. */
 export async function startGateway(
   host: string,
   port: number,
@@ -73,7 +74,7 @@
   );
   server.on('clientError', (error: Error, socket) => {
     const response = exchanges.findResponse(socket as Socket);
-    log.info({err: error.message}, 'connection refused: not a request');
+    log.info({err: error.message}, 'rejected a malformed HTTP request');
     refuseMalformed(error, socket as Socket, response?.headersSent ?? false);
   });
   routing.subscribe(({callerBounds}) => applyBounds(server, callerBounds));
@@ -86,10 +87,10 @@
   };
 }
 
-/** Holds for connections that are opened from now on. */
+/** Applies to connections opened from now on. */
 function applyBounds(server: Server, bounds: CallerBounds) {
-  // Node.js reads the size from the server for each new connection; its types
-  // know it as an option only.
+  // Node.js reads maxHeaderSize from the server for each new connection, but
+  // its types declare it only as an option.
   (server as Server & {maxHeaderSize: number}).maxHeaderSize =
     bounds.maxHeaderBytes;
   server.headersTimeout = bounds.headerTimeoutMs;
@@ -150,7 +151,7 @@
     respondJson(exchange, 202, {});
   }
 
-  const callHandlers: {
+  const bundleCallHandlers: {
     [Kind in BundleCall['kind']]: (
       exchange: HttpExchange,
       call: Extract<BundleCall, {kind: Kind}>,
@@ -179,7 +180,7 @@
   async function handleBundleCall(exchange: HttpExchange, call: BundleCall) {
     const {key} = protocol.decodeRequest(exchange.request);
     const account = authenticate(key);
-    const handler = callHandlers[call.kind] as (
+    const handler = bundleCallHandlers[call.kind] as (
       exchange: HttpExchange,
       call: BundleCall,
       account: string,
@@ -212,11 +213,11 @@
     await submitBundle(exchange, caller, route.name, account);
   }
 
-  async function handleChecked(exchange: HttpExchange) {
+  async function handleIfReady(exchange: HttpExchange) {
     if (!routing.getDocument()) {
       throw new RouterError('isolated', 'no configuration is known yet', {
         verdict: 'not-run',
-        retryAfterMs: UNREADY_RETRY_MS,
+        retryAfterMs: UNREADY_RETRY_AFTER_MS,
       });
     }
     const call = protocol.decodeBundleCall(exchange.request);
@@ -228,8 +229,10 @@
     const {code, verdict, message, retryAfterMs} = error;
     const req = protocol.decodeRequest(request).id;
     const fields = {req, path, code, verdict, retryAfterMs, why: message};
-    if (code === 'internal') log.error({...fields, err: error.cause}, 'failed');
-    else log.info({...fields, routing: routing.getVersion()}, 'refused');
+    if (code === 'internal')
+      log.error({...fields, err: error.cause}, 'internal error');
+    else
+      log.info({...fields, routing: routing.getVersion()}, 'request refused');
   }
 
   return async exchange => {
@@ -237,7 +240,7 @@
     const {response} = exchange;
     let code = 'ok';
     try {
-      await handleChecked(exchange);
+      await handleIfReady(exchange);
     } catch (thrown) {
       const error = toRouterError(thrown, 'may-have-run');
       code = error.code;
--- a/src/instance/gateway/protocols.ts
+++ b/src/instance/gateway/protocols.ts
@@ -1,13 +1,13 @@
 /**
- * What the gateway needs to know of the protocols that callers and endpoints
- * speak. An adapter implements these; the gateway decides.
+ * Interfaces to the protocols of callers and endpoints. Adapters implement them
+ * and only encode and decode; all decisions are made in the gateway.
  */
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
 import type {BundleItem} from '../bundles/bundle_types.js';
 
-/** A request of a caller. */
+/** A decoded request of a caller. */
 export interface CallerRequest {
-  /** Names this attempt of the caller; endpoints echo it. */
+  /** Id of this attempt of the caller; endpoints echo it. */
   id: string;
   method: string;
   host: string;
@@ -16,68 +16,68 @@
   /** Path with the query, as received. */
   target: string;
   key: string | undefined;
-  /** How long the caller will wait, in ms from the request's arrival. */
+  /** How long the caller waits after the request's arrival, in ms. */
   patienceMs: number | undefined;
-  /** Tokens of the prompt, and those its answer will probably have. */
+  /** Tokens of the prompt, and the estimated tokens of the answer. */
   promptTokens: number;
   answerTokens: number;
-  /** Digests of the prompt's leading parts, shortest prefix first. */
+  /** Digests of the prompt's prefixes, shortest first. */
   prefixHashes: string[];
 }
 
-/** A call on a bundle that was accepted before. */
+/** A call on an accepted bundle. */
 export type BundleCall =
   | {kind: 'read'; bundleId: string; after: number; waitMs: number}
   | {kind: 'body'; bundleId: string; itemId: string}
   | {kind: 'end'; bundleId: string};
 
-/** What is read of a bundle's results. */
+/** One page of a bundle's results. */
 export interface BundlePage {
   total: number;
   next: number;
   results: {itemId: string; state: 'complete' | 'given-up'; text: string}[];
 }
 
-/** How callers speak. */
+/** Decodes requests of callers and encodes responses to them. */
 export interface CallerProtocol {
   decodeRequest(message: IncomingMessage): CallerRequest;
-  /** Undefined for a request that a route decides on. */
+  /** Undefined for a request that is handled by its route. */
   decodeBundleCall(message: IncomingMessage): BundleCall | undefined;
-  /** Undefined when the body is no bundle. */
+  /** Undefined if the body is not a valid bundle. */
   decodeBundle(body: Buffer): BundleItem[] | undefined;
   encodePage(page: BundlePage): object;
-  /** Value of Retry-After. */
+  /** Encodes the value of the Retry-After header. */
   encodeRetryAfter(ms: number): string;
 }
 
 /** Header names and values, alternating. */
 export type RawHeaders = readonly string[];
 
-/** One send to an endpoint. */
+/** What the headers of one request to an endpoint carry. */
 export interface EndpointCall {
   requestId: string;
-  /** Headers as the caller sent them. */
+  /** The caller's headers, as received. */
   headers: RawHeaders;
   host: string;
   account: string | undefined;
-  /** Id of the endpoint that is meant; another at its address refuses. */
+  /** Id of the intended endpoint; a different one at its address refuses. */
   endpointName: string;
   /** How long the endpoint may work, in ms. */
   remainingMs: number;
-  /** Id of the last event that is at hand; the stream goes on after it. */
+  /** Id of the last event received; the stream resumes after it. */
   resumeAfter?: string;
 }
 
-/** What the head of an answer says. */
+/** What the head of a response says. */
 export type AnswerHead =
-  /** The endpoint's own answer, whatever its status. */
+  /** The endpoint's own response, with any status. */
   | {kind: 'answer'}
-  /** The endpoint says that it did not run the request. */
+  /** The endpoint states that it did not run the request. */
   | {kind: 'not-run'; isOtherEndpoint: boolean}
-  /** Not an answer to this request, or not a whole one. */
+  /** Not a response to this request, or an incomplete one. */
   | {kind: 'mismatch'; reason: string};
 
-/** How endpoints speak. */
+/** Encodes requests to endpoints and decodes their responses. */
 export interface EndpointProtocol {
   encodeHeaders(call: EndpointCall): string[];
   decodeHead(
@@ -85,6 +85,8 @@
     headers: IncomingHttpHeaders,
     requestId: string,
   ): AnswerHead;
-  /** Whether the answer to an item means that it can never be done. */
+  /**
+   * Whether a response with this status means that the item can never succeed.
+   */
   isPoison(status: number): boolean;
 }
--- a/src/instance/gateway/relay.ts
+++ b/src/instance/gateway/relay.ts
@@ -1,7 +1,8 @@
 /**
- * Runs one caller's request to its end: a token of its account, a slot, a run,
- * and another run where the route allows it. What is promised to the caller
- * follows from what is proved of the runs, never from what is likely.
+ * Runs one caller's request to completion: draws a rate limit token of its
+ * account, acquires a slot, runs the request there, and runs it again if the
+ * route allows that. The verdict given to the caller states only what is proved
+ * about the runs, never what is likely.
  */
 import type {Log} from '../../common/log.js';
 import {RouterError, toRouterError} from '../../common/errors.js';
@@ -14,16 +15,19 @@
 import type {RoutingTable} from '../routing/routing_table.js';
 import {createAnswerRelay} from './answer_relay.js';
 import {
-  MAX_UNRUN_SENDS,
+  MAX_NOT_RUN_SENDS,
   MIN_REMAINING_MS,
   STREAM_SILENCE_MS,
 } from './constants.js';
-import {createRequestEnd, createStartBound} from './request_limits.js';
+import {
+  createRequestLifetime,
+  createFirstSlotTimeout,
+} from './request_limits.js';
 import {
   buildStopError,
-  buildUnrunError,
-  buildUnstartedError,
-  computeEnd,
+  buildNotRunError,
+  buildNoSlotError,
+  computeDeadline,
   computeStartBy,
   toFinalError,
   type AdmittedRequest,
@@ -36,30 +40,30 @@
   type SlotRunDependencies,
 } from './slot_run.js';
 
-/** What the relay works with. */
 export interface RelayDependencies extends SlotRunDependencies {
   log: Log;
   routing: RoutingTable;
   limits: OwnerLimits;
   dispatch: Dispatch;
   quarantine: ContentGuard;
-  /** Makes slot requests of this run of the process unique in the fleet. */
+  /**
+   * Incarnation of this process; makes its slot requests unique in the fleet.
+   */
   getIncarnation: () => string;
 }
 
-/** Relays requests; throws RouterError for those that got no answer. */
+/** Relays requests; throws RouterError for those that got no response. */
 export interface Relay {
   run(admitted: AdmittedRequest): Promise<void>;
 }
 
 const PUBLIC_ACCOUNT = 'public';
 
-/** Starts idle. */
 export function createRelay(dependencies: RelayDependencies): Relay {
   const {clock, log, routing, limits, dispatch, quarantine, getIncarnation} =
     dependencies;
 
-  /** Route and key as they are now: both may have gone while it waited. */
+  /** Checks route and key again: both may have been removed while it waited. */
   function checkStillAllowed({caller, route, account}: AdmittedRequest) {
     const current = routing.findRoute(caller.host, caller.path);
     if (current?.name !== route.name) {
@@ -77,36 +81,44 @@
     });
   }
 
-  /** The first slot must come early enough for its caller to try elsewhere. */
+  /**
+   * Waits for the first slot only as long as the caller can still retry
+   * elsewhere.
+   */
   async function acquireSlot(state: RequestState): Promise<Slot> {
     const isFirst = state.runs === 0;
     const startBy = isFirst ? computeStartBy(state.admitted) : Infinity;
-    const bound = createStartBound(clock, startBy, state.end.signal);
+    const slotTimeout = createFirstSlotTimeout(
+      clock,
+      startBy,
+      state.lifetime.signal,
+    );
     try {
-      return await askForSlot(state, startBy, bound.signal);
+      return await askForSlot(state, startBy, slotTimeout.signal);
     } catch (error) {
-      const isGivenUp = bound.hasPassed() && !state.end.getReason();
-      throw isGivenUp ? buildUnstartedError() : error;
+      const hasTimedOut =
+        slotTimeout.hasExpired() && !state.lifetime.getReason();
+      throw hasTimedOut ? buildNoSlotError() : error;
     } finally {
-      bound.close();
+      slotTimeout.close();
     }
   }
 
   function askForSlot(
-    {admitted, end, avoid, tries}: RequestState,
+    {admitted, lifetime, avoid, attempts}: RequestState,
     startBy: number,
     signal: AbortSignal,
   ): Promise<Slot> {
     const {caller, account} = admitted;
     const route = routing.findRoute(caller.host, caller.path) ?? admitted.route;
     return dispatch.acquireSlot({
-      requestId: `${caller.id}.${tries.length}.${getIncarnation().slice(-6)}`,
+      requestId: `${caller.id}.${attempts.length}.${getIncarnation().slice(-6)}`,
       service: chooseTarget(route, caller.id),
       account: account?.name ?? PUBLIC_ACCOUNT,
       weight: 1,
       workClass: 'online',
       model: '',
-      deadline: end.endsAt,
+      deadline: lifetime.endsAt,
       targetAt: admitted.arrivedAt + route.targetMs,
       startBy: Number.isFinite(startBy) ? startBy : undefined,
       promptTokens: caller.promptTokens,
@@ -120,7 +132,7 @@
   function buildRunRequest({
     admitted,
     body,
-    end,
+    lifetime,
     relay,
   }: RequestState): RunRequest {
     const {caller, route, account, exchange} = admitted;
@@ -133,14 +145,14 @@
       headers: exchange.request.rawHeaders,
       body,
       account: account?.name,
-      remainingMs: Math.floor(end.endsAt - clock.now()),
+      remainingMs: Math.floor(lifetime.endsAt - clock.now()),
       resumeAfter: relay.getLastId(),
       silenceMs: isResumable ? STREAM_SILENCE_MS : Infinity,
     };
   }
 
   async function runOnce(state: RequestState): Promise<RunEnd> {
-    const {admitted, content, end, relay} = state;
+    const {admitted, content, lifetime, relay} = state;
     const askedAt = clock.now();
     quarantine.checkHeld(content);
     const slot = await acquireSlot(state);
@@ -164,10 +176,10 @@
       slot,
       request,
       listener,
-      end.signal,
+      lifetime.signal,
     );
     state.avoid.push(slot.endpoint.address);
-    state.tries.push({
+    state.attempts.push({
       endpoint: slot.endpoint.name,
       way: slot.way,
       waitedMs: Math.round(startedAt - askedAt),
@@ -185,7 +197,9 @@
     void quarantine.noteLoss({requestId, content, ...ended.loss});
   }
 
-  /** Whether an answer that came whole is the request's answer. */
+  /**
+   * Whether a complete response of an endpoint is the final one of the request.
+   */
   function isFinal(state: RequestState, ended: RunEnd): boolean {
     if (ended.kind !== 'answered') return false;
     if (!state.relay.hasBegun()) return false;
@@ -193,12 +207,14 @@
     return !isStream || ended.status !== 200 || state.relay.isAtEventEnd();
   }
 
-  /** Counts a run; throws when no other may follow it. */
+  /**
+   * Counts an unsuccessful run; throws if the request may not be sent again.
+   */
   function noteRun(state: RequestState, ended: RunEnd) {
     const {admitted, relay} = state;
     if (ended.kind === 'not-run') {
-      if (++state.unrun < MAX_UNRUN_SENDS) return;
-      throw buildUnrunError(state, 'every endpoint refused');
+      if (++state.notRunSends < MAX_NOT_RUN_SENDS) return;
+      throw buildNotRunError(state, 'every endpoint refused');
     }
     if (ended.kind === 'stopped') {
       if (ended.wasSent) state.runs++;
@@ -230,13 +246,13 @@
     }
   }
 
-  async function acquireAllowance({caller, account}: AdmittedRequest) {
+  async function acquireRateToken({caller, account}: AdmittedRequest) {
     if (!account) return undefined;
     const decision = await limits.acquire(account);
     if (decision.kind === 'granted') return decision.refund;
     log.info(
       {req: caller.id, account: account.name, ...decision},
-      'refused: over its rate',
+      'request refused: account exceeded its rate limit',
     );
     throw new RouterError('rate_limited', 'the account is over its rate', {
       verdict: 'not-run',
@@ -254,13 +270,13 @@
         account: account?.name,
         routing: routing.getVersion(),
         tookMs: Math.round(clock.now() - arrivedAt),
-        tries: state.tries,
+        tries: state.attempts,
         code: error?.code ?? 'ok',
         verdict: error?.verdict,
         retryAfterMs: error?.retryAfterMs,
         why: error?.message,
       },
-      error ? 'request got no whole answer' : 'request answered',
+      error ? 'request got no complete response' : 'request completed',
     );
   }
 
@@ -269,25 +285,25 @@
       const {exchange, caller, route, account} = admitted;
       const {callerBounds} = routing.getDocument()!;
       const body = await readBody(exchange.request, callerBounds.maxBodyBytes);
-      const refund = await acquireAllowance(admitted);
-      const end = createRequestEnd(
+      const refund = await acquireRateToken(admitted);
+      const lifetime = createRequestLifetime(
         clock,
-        computeEnd(admitted),
+        computeDeadline(admitted),
         exchange.signal,
       );
       const state: RequestState = {
         admitted,
         body,
         content: computeContentId({...caller, account: account?.name, body}),
-        end,
+        lifetime,
         relay: createAnswerRelay(exchange.response, {
           isResumable: route.repeat === 'resumable',
           mayRepeat: route.repeat !== 'once',
         }),
         runs: 0,
-        unrun: 0,
+        notRunSends: 0,
         avoid: [],
-        tries: [],
+        attempts: [],
       };
       try {
         await runToEnd(state);
@@ -297,9 +313,9 @@
         if (state.runs === 0) refund?.();
         logEnd(state, error);
         if (!state.relay.hasBegun()) throw error;
-        state.relay.breakOff();
+        state.relay.abort();
       } finally {
-        end.close();
+        lifetime.close();
       }
     },
   };
--- a/src/instance/gateway/request_limits.test.ts
+++ b/src/instance/gateway/request_limits.test.ts
@@ -1,43 +1,47 @@
-/** How long a request may wait for its first slot. */
+/** Limits on how long a request may wait for its first slot. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createVirtualClock} from '../../common/virtual_clock.js';
-import {createStartBound} from './request_limits.js';
+import {createFirstSlotTimeout} from './request_limits.js';
 import {computeStartBy, type AdmittedRequest} from './request_state.js';
 
-function makeAdmitted(eventPatienceMs: number): AdmittedRequest {
+function makeAdmittedRequest(eventPatienceMs: number): AdmittedRequest {
   const route = {eventPatienceMs} as AdmittedRequest['route'];
   return {route, arrivedAt: 100} as AdmittedRequest;
 }
 
-// Callers leave a stream after two seconds without a first event. Requests that
-// waited that long for a slot ended without a word: their callers could have
-// come back to another instance, had they been told in time.
-describe('the wait for a first slot', () => {
-  it('ends halfway through the patience of a caller of a stream', () => {
-    assert.equal(computeStartBy(makeAdmitted(2000)), 1100);
-    assert.equal(computeStartBy(makeAdmitted(0)), Infinity);
+// Callers abandon a stream after two seconds without a first event. A request
+// that waited that long for a slot ended without a response, although its
+// caller could have retried on another instance after an earlier refusal.
+describe('the timeout for the first slot', () => {
+  it('ends halfway through the first-event timeout of the caller of a stream', () => {
+    assert.equal(computeStartBy(makeAdmittedRequest(2000)), 1100);
+    assert.equal(computeStartBy(makeAdmittedRequest(0)), Infinity);
   });
 
-  it('is cut short at its bound, and told from a caller that left', () => {
+  it('aborts the wait when it expires, as distinct from a caller that left', () => {
     const clock = createVirtualClock();
     const caller = new AbortController();
-    const bound = createStartBound(clock, 1100, caller.signal);
+    const timeout = createFirstSlotTimeout(clock, 1100, caller.signal);
     clock.advance(1099);
-    assert.equal(bound.signal.aborted, false);
+    assert.equal(timeout.signal.aborted, false);
     clock.advance(1);
-    assert.equal(bound.signal.aborted, true);
-    assert.equal(bound.hasPassed(), true);
+    assert.equal(timeout.signal.aborted, true);
+    assert.equal(timeout.hasExpired(), true);
   });
 
-  it('ends with the request, and has no bound of its own once closed', () => {
+  it('aborts the wait when the request ends, and no longer expires once closed', () => {
     const clock = createVirtualClock();
     const caller = new AbortController();
-    const bound = createStartBound(clock, Infinity, caller.signal);
+    const timeout = createFirstSlotTimeout(clock, Infinity, caller.signal);
     caller.abort();
-    assert.equal(bound.signal.aborted, true);
-    assert.equal(bound.hasPassed(), false);
-    const closed = createStartBound(clock, 10, new AbortController().signal);
+    assert.equal(timeout.signal.aborted, true);
+    assert.equal(timeout.hasExpired(), false);
+    const closed = createFirstSlotTimeout(
+      clock,
+      10,
+      new AbortController().signal,
+    );
     closed.close();
     clock.advance(20);
     assert.equal(closed.signal.aborted, false);
--- a/src/instance/gateway/request_limits.ts
+++ b/src/instance/gateway/request_limits.ts
@@ -1,42 +1,46 @@
-/** How long one request may take, and what ends it before it is answered. */
+/** Time limits of a request, and the events that end it without a response. */
 import type {CancelSchedule, Clock} from '../../common/clock.js';
 import {mergeSignals} from '../execution/linked_signal.js';
 
-/** Why a request ends without an answer. */
+/**
+ * Why a request ends without a response: the caller left, or its time is over.
+ */
 export type StopReason = 'gone' | 'deadline';
 
-/** The end of one request. */
-export interface RequestEnd {
-  /** Monotonic time by which it has its final answer. */
+/** How long one request may be served. */
+export interface RequestLifetime {
+  /** Monotonic time by which it must have its final response. */
   endsAt: number;
-  /** Aborted when the caller is gone or the time is up. */
+  /** Aborted when the caller disconnects or the deadline passes. */
   signal: AbortSignal;
   getReason(): StopReason | undefined;
   close(): void;
 }
 
-/** How long a request may wait for its first slot. */
-export interface StartBound {
-  /** Aborted when the request ends, or must not wait any longer. */
+/** Limit on a request's wait for its first slot. */
+export interface FirstSlotTimeout {
+  /** Aborted when the request ends or the timeout expires. */
   signal: AbortSignal;
-  hasPassed(): boolean;
+  hasExpired(): boolean;
   close(): void;
 }
 
-/** `startBy` is a monotonic time, Infinity for none. */
-export function createStartBound(
+/** `startBy` is a monotonic time; Infinity means no timeout. */
+export function createFirstSlotTimeout(
   clock: Clock,
   startBy: number,
   signal: AbortSignal,
-): StartBound {
-  const bound = new AbortController();
-  const linked = mergeSignals(bound.signal, signal);
+): FirstSlotTimeout {
+  const controller = new AbortController();
+  const linked = mergeSignals(controller.signal, signal);
   const cancelTimer = Number.isFinite(startBy)
-    ? clock.schedule(Math.max(0, startBy - clock.now()), () => bound.abort())
+    ? clock.schedule(Math.max(0, startBy - clock.now()), () =>
+        controller.abort(),
+      )
     : () => {};
   return {
     signal: linked.signal,
-    hasPassed: () => bound.signal.aborted,
+    hasExpired: () => controller.signal.aborted,
     close() {
       cancelTimer();
       linked.close();
@@ -44,12 +48,12 @@
   };
 }
 
-/** `callerSignal` is aborted when the caller is gone. */
-export function createRequestEnd(
+/** `callerSignal` is aborted when the caller disconnects. */
+export function createRequestLifetime(
   clock: Clock,
   endsAt: number,
   callerSignal: AbortSignal,
-): RequestEnd {
+): RequestLifetime {
   const controller = new AbortController();
   let reason: StopReason | undefined;
   let cancelTimer: CancelSchedule = () => {};
@@ -59,9 +63,9 @@
     controller.abort(new Error(`the request ended: ${reason}`));
   }
 
-  const handleGone = () => stop('gone');
-  if (callerSignal.aborted) handleGone();
-  else callerSignal.addEventListener('abort', handleGone, {once: true});
+  const handleCallerGone = () => stop('gone');
+  if (callerSignal.aborted) handleCallerGone();
+  else callerSignal.addEventListener('abort', handleCallerGone, {once: true});
   cancelTimer = clock.schedule(Math.max(0, endsAt - clock.now()), () =>
     stop('deadline'),
   );
@@ -71,7 +75,7 @@
     getReason: () => reason,
     close() {
       cancelTimer();
-      callerSignal.removeEventListener('abort', handleGone);
+      callerSignal.removeEventListener('abort', handleCallerGone);
     },
   };
 }
--- a/src/instance/gateway/request_state.ts
+++ b/src/instance/gateway/request_state.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of one caller's request while it is served, and what it may be
- * told when it ends without a whole answer.
+ * State of one caller's request while it is served, and the errors it gets if
+ * it ends without a complete response.
  */
 import {RouterError, toRouterError} from '../../common/errors.js';
 import type {HttpExchange} from '../callers/http_exchange.js';
@@ -8,27 +8,27 @@
 import type {Route, RoutingAccount} from '../routing/routing_document.js';
 import type {AnswerRelay} from './answer_relay.js';
 import {
-  DEFAULT_PATIENCE_MS,
-  REFUSED_RETRY_MS,
-  START_SHARE,
+  DEFAULT_REQUEST_TIMEOUT_MS,
+  REFUSED_RETRY_AFTER_MS,
+  FIRST_SLOT_TIMEOUT_SHARE,
 } from './constants.js';
 import type {CallerRequest} from './protocols.js';
-import type {RequestEnd} from './request_limits.js';
+import type {RequestLifetime} from './request_limits.js';
 import type {RunEnd} from './slot_run.js';
 
-/** A request that was let in. */
+/** A request that passed authentication and has a route. */
 export interface AdmittedRequest {
   exchange: HttpExchange;
   caller: CallerRequest;
   route: Route;
   /** Undefined on a public route. */
   account: RoutingAccount | undefined;
-  /** Monotonic time at which it came. */
+  /** Monotonic time at which it was received. */
   arrivedAt: number;
 }
 
-/** One try as the log tells it. */
-export interface TryRecord {
+/** One attempt, as it is logged. */
+export interface AttemptRecord {
   endpoint: string;
   /** Who granted its slot. */
   way: SlotWay;
@@ -38,50 +38,57 @@
   reason?: string;
 }
 
-/** What is known of a request while it is served. */
+/** State of a request while it is served. */
 export interface RequestState {
   admitted: AdmittedRequest;
   body: Buffer;
-  /** Names what is asked for, under whichever id it comes. */
+  /**
+   * Content id: the same for each request with the same content, whatever its
+   * id.
+   */
   content: string;
-  end: RequestEnd;
+  lifetime: RequestLifetime;
   relay: AnswerRelay;
-  /** Sends that may have run it. */
+  /** Number of sends that may have run it. */
   runs: number;
-  /** Sends that certainly did not. */
-  unrun: number;
+  /** Number of sends that provably did not run it. */
+  notRunSends: number;
   avoid: string[];
-  tries: TryRecord[];
+  attempts: AttemptRecord[];
 }
 
-/** Works out the time by which a request has its final answer. */
-export function computeEnd({
+/**
+ * Computes the monotonic time by which a request must have its final response.
+ */
+export function computeDeadline({
   caller,
   route,
   arrivedAt,
 }: AdmittedRequest): number {
-  const patienceMs = caller.patienceMs ?? DEFAULT_PATIENCE_MS;
-  return arrivedAt + Math.min(patienceMs, route.timeoutMs);
+  const callerTimeoutMs = caller.patienceMs ?? DEFAULT_REQUEST_TIMEOUT_MS;
+  return arrivedAt + Math.min(callerTimeoutMs, route.timeoutMs);
 }
 
 /**
- * Works out the time by which a request must have a slot; Infinity where its
- * caller waits as long as its deadline. A caller that leaves for want of a first
- * event never learns whether to come back: told halfway, it still has the time
- * for another try elsewhere.
+ * Computes the time by which a request must have a slot; Infinity if its caller
+ * waits until the deadline. A caller that times out waiting for the first event
+ * never learns whether it may retry. Refused halfway, it still has time for an
+ * attempt on another instance.
  */
 export function computeStartBy({route, arrivedAt}: AdmittedRequest): number {
   if (route.eventPatienceMs <= 0) return Infinity;
-  return arrivedAt + START_SHARE * route.eventPatienceMs;
+  return arrivedAt + FIRST_SLOT_TIMEOUT_SHARE * route.eventPatienceMs;
 }
 
-/** What a failure before a send means for a request that was sent before. */
+/**
+ * Converts a failure before a send; an earlier send may have run the request.
+ */
 export function toFinalError(
   state: RequestState,
   thrown: unknown,
 ): RouterError {
   const error = toRouterError(thrown, 'may-have-run');
-  if (state.end.getReason()) return buildStopError(state);
+  if (state.lifetime.getReason()) return buildStopError(state);
   if (state.runs === 0) return error;
   return new RouterError('endpoint_failed', error.message, {
     verdict: 'may-have-run',
@@ -89,8 +96,11 @@
   });
 }
 
-/** For a request that no endpoint ran this time; it may have run before. */
-export function buildUnrunError(
+/**
+ * Builds the error for a request whose last send did not run; an earlier one
+ * may have.
+ */
+export function buildNotRunError(
   state: RequestState,
   message: string,
 ): RouterError {
@@ -101,26 +111,28 @@
   }
   return new RouterError('overloaded', message, {
     verdict: 'not-run',
-    retryAfterMs: REFUSED_RETRY_MS,
+    retryAfterMs: REFUSED_RETRY_AFTER_MS,
   });
 }
 
-/** For a request that ended because its caller left or its time is up. */
+/**
+ * Builds the error for a request whose caller left or whose deadline passed.
+ */
 export function buildStopError(state: RequestState): RouterError {
   const verdict = state.runs > 0 ? 'may-have-run' : 'not-run';
-  if (state.end.getReason() === 'gone') {
+  if (state.lifetime.getReason() === 'gone') {
     return new RouterError('cancelled', 'the caller is gone', {verdict});
   }
   if (verdict === 'may-have-run') {
     return new RouterError('deadline_exceeded', 'the time is up', {verdict});
   }
-  return buildUnstartedError();
+  return buildNoSlotError();
 }
 
-/** For a request that no endpoint was asked to run. */
-export function buildUnstartedError(): RouterError {
+/** Builds the error for a request that was never sent to an endpoint. */
+export function buildNoSlotError(): RouterError {
   return new RouterError('overloaded', 'no slot came free in time', {
     verdict: 'not-run',
-    retryAfterMs: REFUSED_RETRY_MS,
+    retryAfterMs: REFUSED_RETRY_AFTER_MS,
   });
 }
--- a/src/instance/gateway/slot_run.ts
+++ b/src/instance/gateway/slot_run.ts
@@ -1,4 +1,4 @@
-/** One run of a request at the endpoint of a slot, from the send to its end. */
+/** Runs a request once on the endpoint of a slot. */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {Dispatcher} from 'undici';
 import type {Clock} from '../../common/clock.js';
@@ -13,7 +13,7 @@
 } from './endpoint_exchange.js';
 import type {AnswerHead, EndpointProtocol, RawHeaders} from './protocols.js';
 
-/** What is run. */
+/** The request to run. */
 export interface RunRequest {
   id: string;
   method: string;
@@ -25,17 +25,22 @@
   /** How long the endpoint may work, in ms. */
   remainingMs: number;
   resumeAfter?: string;
-  /** Silence that ends the run, in ms; Infinity where nothing else could run it. */
+  /**
+   * Time without data that ends the run, in ms; Infinity if it cannot be
+   * resumed.
+   */
   silenceMs: number;
 }
 
-/** Takes the answer in. */
+/** Receives the response. */
 export interface RunListener {
-  /** Whether the body of an answer with this head is wanted. */
+  /**
+   * Decides whether the body of a response with this head is read or discarded.
+   */
   onAnswer(status: number, headers: IncomingHttpHeaders): 'take' | 'discard';
   /**
-   * Returns whether more is wanted at once; otherwise `resume` is to be called
-   * when it is. May throw when the bytes cannot be what was asked for.
+   * Returns whether more data is accepted immediately; if not, the listener
+   * calls `resume` when it is. Throws if the data does not match the request.
    */
   onData(chunk: Buffer, resume: () => void): boolean;
 }
@@ -43,31 +48,30 @@
 /** A run whose endpoint closed or reset the connection. */
 export interface ConnectionLoss {
   endpoint: ListedInstance;
-  /** Whether a part of the answer's body had come. */
+  /** Whether a part of the response body had been received. */
   hadAnswer: boolean;
 }
 
 /** How a run ended. */
 export type RunEnd =
-  /** The endpoint's whole answer. */
+  /** The endpoint's response was received completely. */
   | {kind: 'answered'; status: number}
-  /** Proved: the endpoint did not run it. */
+  /** It is proved that the endpoint did not run the request. */
   | {kind: 'not-run'; reason: string}
-  /** It may have run; there is no whole answer. */
+  /** It may have run; there is no complete response. */
   | {kind: 'broken'; reason: string; loss?: ConnectionLoss}
-  /** `signal` ended it; whether it may have run is told by `wasSent`. */
+  /** `signal` ended it; it may have run only if `wasSent`. */
   | {kind: 'stopped'; wasSent: boolean};
 
-/** What runs work with. */
 export interface SlotRunDependencies {
   clock: Clock;
   dispatcher: Dispatcher;
   protocol: EndpointProtocol;
 }
 
-const NOT_TO_BE_SENT: RunEnd = {kind: 'stopped', wasSent: false};
+const STOPPED_BEFORE_SEND: RunEnd = {kind: 'stopped', wasSent: false};
 
-/** Runs at the slot's endpoint and gives the slot back. */
+/** Runs the request on the slot's endpoint and releases the slot. */
 export async function runOnSlot(
   {clock, dispatcher, protocol}: SlotRunDependencies,
   slot: Slot,
@@ -78,7 +82,7 @@
   const use = createSlotUse(clock, slot);
   if (signal.aborted) {
     use.release();
-    return NOT_TO_BE_SENT;
+    return STOPPED_BEFORE_SEND;
   }
   const guard = createSilenceGuard(signal);
   let head: AnswerHead | undefined;
@@ -103,13 +107,13 @@
       }),
     },
     {
-      onHead(answered, headers) {
-        status = answered;
-        head = protocol.decodeHead(answered, headers, request.id);
+      onHead(receivedStatus, headers) {
+        status = receivedStatus;
+        head = protocol.decodeHead(receivedStatus, headers, request.id);
         if (head.kind === 'mismatch') throw new Error(head.reason);
         isDiscarded =
           head.kind === 'not-run' ||
-          listener.onAnswer(answered, headers) === 'discard';
+          listener.onAnswer(receivedStatus, headers) === 'discard';
       },
       onData(chunk) {
         use.noteToken();
@@ -163,7 +167,7 @@
   };
 }
 
-/** What the scheduler learns of the endpoint. */
+/** Outcome of the run that is reported to the scheduler. */
 function toOutcome(
   end: RunEnd,
   {slot, isSilent, ended}: {slot: Slot; isSilent: boolean; ended: ExchangeEnd},
