--- a/src/instance/callers/admission.ts
+++ b/src/instance/callers/admission.ts
@@ -1,4 +1,4 @@
-/** Who is calling, for which service, and until when. */
+/** Checks of a caller's request: key, service, deadline, rate and body size. */
 import type {IncomingMessage} from 'node:http';
 import type {Clock} from '../../common/clock.js';
 import {RouterError} from '../../common/errors.js';
@@ -16,7 +16,10 @@
 import type {Limits} from '../limits/limits.js';
 import {DEADLINE_HEADER, FORWARDED_HEADERS} from './constants.js';
 
-/** The owner of the key a request carries; throws RouterError. */
+/**
+ * Returns the owner of the request's key; throws RouterError if it is not
+ * valid.
+ */
 export function authenticateCaller(
   request: IncomingMessage,
   keys: KeyDirectory,
@@ -38,7 +41,9 @@
   key_withdrawn: 'the key was withdrawn',
 } as const;
 
-/** The owner of a valid key; throws RouterError with `code` for others. */
+/**
+ * Returns the owner of a valid key; throws RouterError with `code` for others.
+ */
 export function checkKeyVerdict(
   verdict: KeyVerdict,
   code: 'invalid_key' | 'key_withdrawn',
@@ -57,18 +62,21 @@
   });
 }
 
-/** The service that serves a model; throws RouterError naming what there is. */
+/**
+ * Finds the service of a model; throws RouterError that lists the available
+ * models.
+ */
 export function findServiceOfModel(
   configuration: Configuration,
   account: string,
   model: string,
 ): VersionedDocument {
-  const open = listServicesOfAccount(configuration, account);
-  const found = open.find(({document}) =>
+  const services = listServicesOfAccount(configuration, account);
+  const found = services.find(({document}) =>
     document.service.models.includes(model),
   );
   if (found) return found;
-  const models = open.flatMap(({document}) => document.service.models);
+  const models = services.flatMap(({document}) => document.service.models);
   throw new RouterError(
     'not_found',
     `no model '${model}' for this account; there are: ${models.join(', ')}`,
@@ -76,7 +84,7 @@
   );
 }
 
-/** The services whose document names the account. */
+/** Lists the services whose document names the account. */
 export function listServicesOfAccount(
   configuration: Configuration,
   account: string,
@@ -86,7 +94,7 @@
     .filter(({document}) => account in document.account);
 }
 
-/** Monotonic time by which the caller wants its answer; throws RouterError. */
+/** Returns the monotonic time of the request's deadline; throws RouterError. */
 export function parseDeadline(
   request: IncomingMessage,
   service: VersionedDocument,
@@ -103,7 +111,10 @@
   });
 }
 
-/** Draws one token of the account's rate; throws RouterError without one. */
+/**
+ * Draws one token from the account's rate limit; throws RouterError if there is
+ * none.
+ */
 export async function acquireToken(
   limits: Limits,
   {document}: VersionedDocument,
@@ -117,8 +128,8 @@
 }
 
 /**
- * Checks the key again, when a queued request is about to run and while its
- * answer streams; throws RouterError once it was withdrawn.
+ * Builds a function that checks the key again, before a queued request runs and
+ * while its response streams; it throws RouterError once the key is withdrawn.
  */
 export function buildKeyCheck(
   {keys, clock}: {keys: KeyDirectory; clock: Clock},
@@ -131,7 +142,7 @@
   };
 }
 
-/** Throws RouterError when a body is larger than its service allows. */
+/** Throws RouterError if a body is larger than its service allows. */
 export function checkBodySize(
   body: Buffer,
   {document}: VersionedDocument,
@@ -145,7 +156,10 @@
   );
 }
 
-/** The caller's key is not among them, so no endpoint sees it. */
+/**
+ * Selects the headers that endpoints may see; the caller's key is not among
+ * them.
+ */
 export function selectForwardedHeaders(
   request: IncomingMessage,
 ): Record<string, string> {
--- a/src/instance/callers/answer_recorder.ts
+++ b/src/instance/callers/answer_recorder.ts
@@ -1,28 +1,31 @@
-/** Keeps a small answer while it passes, and records it before its end. */
+/**
+ * Buffers a small response while it is forwarded, and records it before its
+ * end.
+ */
 import type {EndpointEvent} from '../endpoints/endpoint_adapter.js';
 import {MAX_RECORDED_BYTES, type RecordedEnd} from './intents.js';
 
-/** Records one answer. */
+/** Records one response. */
 export interface AnswerRecorder {
   /**
-   * Passes the events on. `finish` is called with the whole answer before the
-   * last event: whoever has read the end finds it recorded. A consumer that
-   * stops reading does not stop the call; the rest is read for the record.
+   * Yields the events unchanged. `finish` is called with the complete response
+   * before the last event is yielded, so a caller that has read the end finds
+   * it recorded. If the consumer stops reading, the rest is still read and
+   * recorded.
    */
   record(
     events: AsyncIterable<EndpointEvent>,
     finish: (end: RecordedEnd) => Promise<void>,
   ): AsyncGenerator<EndpointEvent>;
-  /** Whether the whole answer was recorded. */
+  /** Whether the end of the response was received. */
   hasEnded(): boolean;
 }
 
-/** For one answer. */
 export function createAnswerRecorder(): AnswerRecorder {
   const parts: Buffer[] = [];
   let size = 0;
   let head = {status: 0, headers: {} as Record<string, string>};
-  let ended = false;
+  let hasEnded = false;
 
   function noteEvent(event: EndpointEvent) {
     if (event.kind === 'head') head = event;
@@ -42,7 +45,7 @@
   }
 
   return {
-    hasEnded: () => ended,
+    hasEnded: () => hasEnded,
     async *record(events, finish) {
       const iterator = events[Symbol.asyncIterator]();
       async function readNext(): Promise<EndpointEvent | undefined> {
@@ -50,7 +53,7 @@
         if (next.done) return undefined;
         noteEvent(next.value);
         if (next.value.kind !== 'end') return next.value;
-        ended = true;
+        hasEnded = true;
         await finish(buildEnd());
         return next.value;
       }
@@ -59,7 +62,7 @@
           yield event;
         }
       } finally {
-        while (!ended && (await readNext()));
+        while (!hasEnded && (await readNext()));
       }
     },
   };
--- a/src/instance/callers/answer_writer.ts
+++ b/src/instance/callers/answer_writer.ts
@@ -1,40 +1,45 @@
 /**
- * Writes an answer piece by piece, no faster than the caller takes it, so that
- * an instance never holds the answers of slow callers in memory.
+ * Writes a response in pieces with back pressure: no faster than the caller
+ * reads it, so that the responses of slow callers are never buffered in memory.
  */
 import type {ServerResponse} from 'node:http';
 import {RouterError} from '../../common/errors.js';
 import {ANSWER_PIECE_BYTES} from './constants.js';
 
-/** Writes the body of one answer. */
+/** Writes the body of one response. */
 export interface AnswerWriter {
-  /** Undefined when more may follow at once, else resolves when it may. */
+  /** Returns undefined if more may be written now, else a promise of when. */
   write(data: string | Buffer): Promise<void> | undefined;
 }
 
-/** Throws RouterError once the caller is gone. */
+/**
+ * Creates a writer that throws RouterError once the caller has disconnected.
+ */
 export function createAnswerWriter(response: ServerResponse): AnswerWriter {
   return {
     write(data) {
-      if (response.destroyed) throw buildGone();
+      if (response.destroyed) throw buildCallerGoneError();
       return response.write(data) ? undefined : awaitDrain(response);
     },
   };
 }
 
-/** Hands a large body over in pieces and ends the answer. */
+/** Writes a large body in pieces and ends the response. */
 export async function writeBody(
   response: ServerResponse,
   body: Buffer,
 ): Promise<void> {
   const writer = createAnswerWriter(response);
-  for (let at = 0; at < body.length; at += ANSWER_PIECE_BYTES) {
-    await writer.write(body.subarray(at, at + ANSWER_PIECE_BYTES));
+  for (let offset = 0; offset < body.length; offset += ANSWER_PIECE_BYTES) {
+    await writer.write(body.subarray(offset, offset + ANSWER_PIECE_BYTES));
   }
   response.end();
 }
 
-/** The guard on slow readers ends the wait by closing the connection. */
+/**
+ * Waits for the buffer to drain; the slow caller check bounds the wait by
+ * closing the connection.
+ */
 function awaitDrain(response: ServerResponse): Promise<void> {
   return new Promise((resolve, reject) => {
     const handleDrain = () => {
@@ -43,14 +48,14 @@
     };
     const handleClose = () => {
       response.off('drain', handleDrain);
-      reject(buildGone());
+      reject(buildCallerGoneError());
     };
     response.once('drain', handleDrain);
     response.once('close', handleClose);
   });
 }
 
-function buildGone(): RouterError {
+function buildCallerGoneError(): RouterError {
   return new RouterError('cancelled', 'the caller is gone', {
     verdict: 'may-have-run',
   });
--- a/src/instance/callers/callers.test.ts
+++ b/src/instance/callers/callers.test.ts
@@ -1,4 +1,7 @@
-/** The callers' HTTP interface: refusals, limits, slow and leaving callers. */
+/**
+ * The callers' HTTP interface: refusals, limits, slow and disconnecting
+ * callers.
+ */
 import assert from 'node:assert/strict';
 import {connect, type Socket} from 'node:net';
 import {after, before, describe, it} from 'node:test';
@@ -31,7 +34,8 @@
     const socket = openSocket();
     let text = '';
     socket.on('data', data => (text += data));
-    // Half closed: an incomplete request is then over, not slow.
+    // Half-closes the connection, so that an incomplete request counts as ended
+    // and not as slow.
     socket.end(bytes);
     await new Promise(resolve => socket.on('close', resolve));
     return text;
@@ -47,15 +51,15 @@
       `POST ${path} HTTP/1.1\r\nhost: a\r\nauthorization: Bearer KEY\r\n` +
       `${headers}content-length: ${body.length}\r\nconnection: close\r\n\r\n${body}`;
     const CASES: [string, string, number, string][] = [
-      ['bytes that are no HTTP', 'nonsense\r\n\r\n', 400, 'invalid_request'],
+      ['bytes that are not HTTP', 'nonsense\r\n\r\n', 400, 'invalid_request'],
       [
-        'a target that is no path',
+        'a target that is not a path',
         'GET // HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n',
         404,
         'not_found',
       ],
       [
-        'a target that is no URL',
+        'a target that is not a URL',
         'GET //[ HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n',
         404,
         'not_found',
@@ -74,12 +78,17 @@
         'invalid_key',
       ],
       [
-        'a body that is no JSON',
+        'a body that is not JSON',
         post(CHAT, '{"model":'),
         400,
         'invalid_request',
       ],
-      ['a body that is no object', post(CHAT, '[1]'), 400, 'invalid_request'],
+      [
+        'a body that is not an object',
+        post(CHAT, '[1]'),
+        400,
+        'invalid_request',
+      ],
       ['a missing model', post(CHAT, '{}'), 400, 'invalid_request'],
       [
         'missing messages',
@@ -144,9 +153,10 @@
       });
     }
 
-    it('a body that grows beyond the limit, read to its refusal', async () => {
-      // The caller reads why. It streams a body without a length; closing the
-      // connection on the unread rest would reset it before the answer is read.
+    it('a chunked body that exceeds the limit, without a connection reset', async () => {
+      // The caller streams a body without a declared length. Closing the
+      // connection while a part of it is unread would reset the connection
+      // before the caller has read the refusal.
       const socket = openSocket();
       const errors: Error[] = [];
       socket.on('error', error => void errors.push(error));
@@ -168,7 +178,7 @@
       assert.match(text, /body_too_large/);
     });
 
-    it('a method that does not fit, naming those that do', async () => {
+    it('a method that is not allowed, naming the allowed ones', async () => {
       const answer = await fleet.send(CHAT);
       assert.equal(answer.status, 405);
       assert.match(answer.text, /use POST here/);
@@ -176,8 +186,8 @@
   });
 
   it('never fails on malformed requests', async () => {
-    // Whatever bytes come, the answer is a 4xx or a closed connection, and the
-    // next caller is served.
+    // Any bytes get a 4xx response or a closed connection, and the next caller
+    // is served.
     const method = fc.constantFrom('GET', 'POST', 'PUT', 'X', '');
     const target = fc.oneof(
       fc.constantFrom(
@@ -245,7 +255,7 @@
     );
   });
 
-  it('passes a plain call through with its query, and hides other headers', async () => {
+  it('forwards a plain call with its query, and drops other headers', async () => {
     const answer = await fleet.send('/services/visits/visits?day=1&x=%20', {
       headers: {'accept-language': 'mn', 'x-internal': 'secret'},
     });
@@ -254,20 +264,20 @@
     assert.ok(seen.includes('accept-language') && !seen.includes('x-internal'));
   });
 
-  it('lists and names models', async () => {
+  it('returns single models, and 404 for an unknown one', async () => {
     const one = await fleet.send('/v1/models/drum-reader-7b');
     assert.equal(JSON.parse(one.text).id, 'drum-reader-7b');
     assert.equal((await fleet.send('/v1/models/none')).status, 404);
   });
 
-  it('answers text completions', async () => {
+  it('serves text completions', async () => {
     const {text} = await fleet.send('/v1/completions', {
       body: {model: 'drum-reader-7b', prompt: 'drum 17'},
     });
     assert.match(JSON.parse(text).choices[0].text, /^re drum 17: t1/);
   });
 
-  it('tells the deadline at once, and stops the engine', async () => {
+  it('responds at the deadline, and cancels the work of the engine', async () => {
     const [engine] = fleet.engines;
     engine.options.firstTokenMs = 60_000;
     const {status, headers, text} = await fleet.send(CHAT, {
@@ -283,7 +293,7 @@
     }
   });
 
-  it("stops an engine's work when its caller leaves", async () => {
+  it('cancels the work of the engine when the caller disconnects', async () => {
     const [engine] = fleet.engines;
     Object.assign(engine.options, {tokens: 1_000_000, resumeWindowMs: 1e9});
     const leaving = new AbortController();
@@ -299,7 +309,7 @@
     Object.assign(engine.options, {tokens: 8, resumeWindowMs: 2000});
   });
 
-  it('passes on what an engine has against a request', async () => {
+  it('forwards the response of an engine that refuses a message', async () => {
     const answer = await fleet.send(CHAT, {
       body: {...makeQuestion('q', true), messages: [{refuse: true}]},
     });
--- a/src/instance/callers/callers.ts
+++ b/src/instance/callers/callers.ts
@@ -27,7 +27,7 @@
 import {refuseMalformed} from './malformed_requests.js';
 import {ROUTES} from './routes.js';
 
-/** What the handlers of the callers' interface work with. */
+/** Dependencies of the handlers of the callers' interface. */
 export interface CallerDependencies {
   clock: Clock;
   configuration: Configuration;
@@ -40,20 +40,20 @@
   metrics?: Metrics;
 }
 
-/** The running interface. */
+/** The running HTTP interface for callers. */
 export interface Callers extends StateSource {
-  /** IP number and port it listens on. */
+  /** IP address and port it listens on. */
   address: string;
-  /** From now on, each answer is its connection's last. */
+  /** From now on, connections close after their current response. */
   startDraining(): void;
   /**
-   * Takes no new connections and resolves when all answers have ended; those
-   * still open after `boundMs` end with an error.
+   * Accepts no new connections and resolves when all responses have ended;
+   * those still open after `timeoutMs` end with an error.
    */
-  drain(boundMs: number): Promise<void>;
+  drain(timeoutMs: number): Promise<void>;
 }
 
-/** Starts to listen; `host` and `port` are those of the settings. */
+/** Starts to listen on `host` and `port`. */
 export async function startCallers(
   host: string,
   port: number,
@@ -82,7 +82,7 @@
   return {
     address,
     startDraining: () => exchanges.startDraining(),
-    drain: boundMs => drainServer(server, exchanges, clock, boundMs),
+    drain: timeoutMs => drainServer(server, exchanges, clock, timeoutMs),
     describeState: () => ({open: exchanges.count()}),
   };
 }
--- a/src/instance/callers/completion_request.ts
+++ b/src/instance/callers/completion_request.ts
@@ -1,4 +1,4 @@
-/** What a caller asks of a completion. */
+/** Parses the body of a completion request. */
 import * as z from 'zod';
 import {RouterError} from '../../common/errors.js';
 import type {AnswerLengths} from '../../decisions/answer_length.js';
@@ -16,26 +16,29 @@
   prompt: z.unknown().optional(),
 });
 
-/** A checked completion; other members are passed on as they are. */
+/** A validated completion request; unknown members are forwarded unchanged. */
 export type Completion = z.infer<typeof completionSchema>;
 
-/** Throws RouterError naming the member at fault. */
+/**
+ * Parses a completion request; throws RouterError that names the invalid
+ * member.
+ */
 export function parseCompletion(body: Buffer, path: string): Completion {
   const parsed = completionSchema.safeParse(parseJsonObject(body));
   if (!parsed.success) {
     const [issue] = parsed.error.issues;
-    throw failField(issue.path.join('.'), issue.message);
+    throw buildFieldError(issue.path.join('.'), issue.message);
   }
   const isChat = path.includes('/chat/');
   if (isChat && !parsed.data.messages)
-    throw failField('messages', 'is missing');
+    throw buildFieldError('messages', 'is missing');
   if (!isChat && parsed.data.prompt === undefined) {
-    throw failField('prompt', 'is missing');
+    throw buildFieldError('prompt', 'is missing');
   }
   return parsed.data;
 }
 
-function failField(field: string, problem: string): RouterError {
+function buildFieldError(field: string, problem: string): RouterError {
   const message = `${field}: ${problem}`;
   return new RouterError('invalid_request', message, {
     verdict: 'not-run',
@@ -43,13 +46,16 @@
   });
 }
 
-/** Engines always stream, so that a broken answer can be resumed. */
+/**
+ * Builds the body for the engine, which always streams: a broken stream can be
+ * resumed.
+ */
 export function buildEngineBody(completion: Completion, body: Buffer): Buffer {
   if (completion.stream) return body;
   return Buffer.from(JSON.stringify({...completion, stream: true}));
 }
 
-/** Rough sizes of prompt and answer, in tokens. */
+/** Estimates the tokens of prompt and answer. */
 export function estimateSizes(
   completion: Completion,
   body: Buffer,
--- a/src/instance/callers/completions_route.ts
+++ b/src/instance/callers/completions_route.ts
@@ -1,4 +1,4 @@
-/** Answers completions, streamed or whole. */
+/** Handles completions, streamed or as one JSON response. */
 import type {RouterError} from '../../common/errors.js';
 import {toRouterError, buildErrorBody} from '../../common/errors.js';
 import {computeRequestPrefixes} from '../../common/prompt_prefix.js';
@@ -33,7 +33,7 @@
 
 const END_EVENT = 'data: [DONE]\n\n';
 
-/** Runs one completion and answers it. */
+/** Runs one completion and sends its response. */
 export async function handleCompletion(
   exchange: HttpExchange,
   dependencies: CallerDependencies,
@@ -66,18 +66,21 @@
     deadline,
     ...estimateSizes(completion, body, dependencies.answerLengths),
     prefixHashes: computeRequestPrefixes(completion),
-    // Running a completion twice changes nothing but the endpoints' load.
+    // Running a completion twice has no effect besides the endpoints' load.
     idempotent: true,
     authorize: buildKeyCheck(dependencies, owner, service),
     signal: exchange.signal,
   };
   const tokens = completion.stream
     ? await streamAnswer(exchange, execution.run(request))
-    : await respondWhole(exchange, dependencies, request);
+    : await respondBuffered(exchange, dependencies, request);
   if (tokens > 0) dependencies.answerLengths.note(completion.model, tokens);
 }
 
-/** The service is known only from the body; then its own limit holds. */
+/**
+ * Returns the largest body limit of the account's services. The service is
+ * known only after the body is read; its own limit is checked then.
+ */
 function findBodyLimit(services: readonly VersionedDocument[]): number {
   return Math.max(
     0,
@@ -86,8 +89,9 @@
 }
 
 /**
- * Streams the events. The head waits for the first of them, so that a request
- * that fails before it still gets its own status. Returns the tokens sent.
+ * Streams the events and returns the number of tokens sent. The response head
+ * is sent with the first event, so that a request that fails earlier gets its
+ * own status.
  */
 async function streamAnswer(
   exchange: HttpExchange,
@@ -102,17 +106,17 @@
       if (event.kind === 'head') status = event.status;
       if (event.kind !== 'data') continue;
       if (status !== 200) {
-        respondRefusal(exchange, status, event.payload);
+        respondEngineError(exchange, status, event.payload);
         continue;
       }
       if (!response.headersSent) writeStreamHead(exchange);
       tokens++;
-      const full = writer.write(`data: ${event.payload}\n\n`);
-      if (full) await full;
+      const drained = writer.write(`data: ${event.payload}\n\n`);
+      if (drained) await drained;
     }
   } catch (thrown) {
     if (!response.headersSent) throw thrown;
-    respondBroken(exchange, toRouterError(thrown, 'may-have-run'));
+    endBrokenStream(exchange, toRouterError(thrown, 'may-have-run'));
     throw thrown;
   }
   if (status !== 200) return 0;
@@ -129,28 +133,35 @@
   });
 }
 
-/** Without its end mark and with this event, the answer is seen to be broken. */
-function respondBroken({response}: HttpExchange, error: RouterError) {
+/**
+ * Ends a stream with an error event and without [DONE], so that the caller sees
+ * that it is incomplete.
+ */
+function endBrokenStream({response}: HttpExchange, error: RouterError) {
   const body = JSON.stringify(buildErrorBody(error));
   response.end(`event: error\ndata: ${body}\n\n`);
 }
 
-async function respondWhole(
+async function respondBuffered(
   exchange: HttpExchange,
   {execution}: CallerDependencies,
   request: ExecutionRequest,
 ): Promise<number> {
   const {status, payloads} = await execution.collect(request);
   if (status !== 200) {
-    respondRefusal(exchange, status, Buffer.concat(payloads));
+    respondEngineError(exchange, status, Buffer.concat(payloads));
     return 0;
   }
   respondJson(exchange, 200, collectCompletion(exchange.path, payloads));
   return payloads.length;
 }
 
-/** What the engine has against the request is for the caller to read. */
-function respondRefusal(exchange: HttpExchange, status: number, body: Buffer) {
+/** Forwards the error response of the engine to the caller. */
+function respondEngineError(
+  exchange: HttpExchange,
+  status: number,
+  body: Buffer,
+) {
   respondBytes(exchange, status, body, {
     'content-type': 'application/json',
     [VERDICT_HEADER]: 'ran',
--- a/src/instance/callers/drain_server.ts
+++ b/src/instance/callers/drain_server.ts
@@ -1,26 +1,26 @@
-/** The end of a listener without cutting off an answer. */
+/** Graceful shutdown of an HTTP server. */
 import type {Server} from 'node:http';
 import type {Clock} from '../../common/clock.js';
 import type {Exchanges} from './exchanges.js';
 
 /**
- * Takes no new connections and resolves when all answers have ended; those
- * still open after `boundMs` end with an error.
+ * Accepts no new connections and resolves when all responses have ended; those
+ * still open after `timeoutMs` end with an error.
  */
 export async function drainServer(
   server: Server,
   exchanges: Exchanges,
   clock: Clock,
-  boundMs: number,
+  timeoutMs: number,
 ) {
   exchanges.startDraining();
   const closed = new Promise<void>(resolve => server.close(() => resolve()));
   server.closeIdleConnections();
-  const cancelBound = clock.schedule(boundMs, () => exchanges.endAll());
-  await exchanges.awaitNone();
-  cancelBound();
+  const cancelTimer = clock.schedule(timeoutMs, () => exchanges.abortAll());
+  await exchanges.awaitIdle();
+  cancelTimer();
   exchanges.stop();
-  // Nothing is open now but connections that wait for a next request.
+  // Only idle keep-alive connections are left now.
   server.closeAllConnections();
   await closed;
 }
--- a/src/instance/callers/exchanges.test.ts
+++ b/src/instance/callers/exchanges.test.ts
@@ -12,7 +12,7 @@
 import {createExchanges} from './exchanges.js';
 import {refuseMalformed} from './malformed_requests.js';
 
-/** A connection whose reader takes nothing unless told. */
+/** Fakes a connection; `writableLength` is what its caller has not yet read. */
 function makeConnection() {
   const socket = Object.assign(new EventEmitter(), {
     writableLength: 0,
@@ -41,18 +41,18 @@
 }
 
 describe('exchanges', () => {
-  function createAll() {
+  function createFixture() {
     const clock = createVirtualClock();
     const exchanges = createExchanges(clock, createMetrics());
     return {clock, exchanges};
   }
 
   describe('a caller that stops reading', () => {
-    // Its slot at the endpoint and the buffers of its answer stay taken. After
-    // ten seconds in which it took nothing, its connection is closed, which
-    // cancels its request.
-    it('is cut off', () => {
-      const {clock, exchanges} = createAll();
+    // Such a caller would occupy a slot at the endpoint and the buffers of its
+    // response. After 10 seconds without reading, its connection is closed,
+    // which cancels its request.
+    it('is disconnected', () => {
+      const {clock, exchanges} = createFixture();
       const {socket, open} = makeConnection();
       const {signal} = open(exchanges);
       socket.writableLength = 16_384;
@@ -64,8 +64,8 @@
       assert.equal(exchanges.count(), 0);
     });
 
-    it('is kept while it takes something', () => {
-      const {clock, exchanges} = createAll();
+    it('stays connected while it reads anything', () => {
+      const {clock, exchanges} = createFixture();
       const {socket, open} = makeConnection();
       open(exchanges);
       for (let step = 0; step < 10; step++) {
@@ -75,8 +75,8 @@
       assert.equal(socket.destroyed, false);
     });
 
-    it('is kept while its answer has not begun', () => {
-      const {clock, exchanges} = createAll();
+    it('stays connected while its response has not started', () => {
+      const {clock, exchanges} = createFixture();
       const {socket, open} = makeConnection();
       open(exchanges);
       clock.advance(100 * SLOW_READ_TIMEOUT_MS);
@@ -84,8 +84,8 @@
     });
   });
 
-  it('say on open and new answers that the connection closes', () => {
-    const {exchanges} = createAll();
+  it('send connection: close on open and new responses while draining', () => {
+    const {exchanges} = createFixture();
     const before = makeConnection();
     const after = makeConnection();
     before.open(exchanges);
@@ -95,17 +95,17 @@
     assert.equal(after.response.headers.get('connection'), 'close');
   });
 
-  it('tell what is still open at the bound why it ends', () => {
-    const {exchanges} = createAll();
+  it('abort open exchanges at the drain timeout with the error code draining', () => {
+    const {exchanges} = createFixture();
     const {signal} = makeConnection().open(exchanges);
-    exchanges.endAll();
+    exchanges.abortAll();
     assert.equal((signal.reason as RouterError).code, 'draining');
   });
 });
 
 describe('answer writer', () => {
-  it('waits for a caller that takes its answer slowly', async () => {
-    // The instance would hold the whole answer in memory for it.
+  it('waits for a caller that reads its response slowly', async () => {
+    // Without back pressure, the instance would buffer the complete response.
     let takePiece = () => {};
     const response = new Writable({
       highWaterMark: 8,
@@ -113,26 +113,26 @@
     });
     const writer = createAnswerWriter(response as unknown as ServerResponse);
     assert.equal(writer.write('1234'), undefined);
-    const full = writer.write('56789');
-    assert.ok(full);
+    const drained = writer.write('56789');
+    assert.ok(drained);
     takePiece();
     takePiece();
-    await full;
+    await drained;
     assert.equal(writer.write('1'), undefined);
   });
 
-  it('ends the wait when the caller leaves', async () => {
+  it('stops waiting when the caller disconnects', async () => {
     const response = new Writable({highWaterMark: 2, write: () => {}});
     const writer = createAnswerWriter(response as unknown as ServerResponse);
-    const full = writer.write('123');
+    const drained = writer.write('123');
     response.destroy();
-    await assert.rejects(full!, {code: 'cancelled'});
+    await assert.rejects(drained!, {code: 'cancelled'});
     assert.throws(() => writer.write('4'), {code: 'cancelled'});
   });
 });
 
 describe('malformed requests', () => {
-  function refuse(code: string, hasAnswerBegun = false) {
+  function refuseWith(code: string, hasAnswerBegun = false) {
     let written = '';
     let destroyed = false;
     const socket = {
@@ -145,15 +145,15 @@
     return {written, destroyed};
   }
 
-  it('that take too long to send are told so', () => {
-    const {written} = refuse('ERR_HTTP_REQUEST_TIMEOUT');
+  it('that take too long to send get a 408 response', () => {
+    const {written} = refuseWith('ERR_HTTP_REQUEST_TIMEOUT');
     assert.match(written, /^HTTP\/1.1 408 Request Timeout\r\n/);
     assert.match(written, /"code":"request_timeout"/);
   });
 
-  it('get nothing into an answer that has begun', () => {
-    // The caller would read the refusal as part of the answer.
-    const {written, destroyed} = refuse('HPE_INVALID_METHOD', true);
+  it('get no error response once a response has started', () => {
+    // The caller would read the refusal as part of that response.
+    const {written, destroyed} = refuseWith('HPE_INVALID_METHOD', true);
     assert.deepEqual([written, destroyed], ['', true]);
   });
 });
--- a/src/instance/callers/exchanges.ts
+++ b/src/instance/callers/exchanges.ts
@@ -1,6 +1,6 @@
 /**
- * The open exchanges of an instance: who is being answered, who reads too
- * slowly, and how they all come to their end when the instance stops.
+ * Tracks the open HTTP exchanges of an instance, disconnects callers that read
+ * too slowly, and drains the exchanges when the instance stops.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
@@ -11,19 +11,22 @@
 import {SLOW_READ_CHECK_MS, SLOW_READ_TIMEOUT_MS} from './constants.js';
 import type {HttpExchange} from './http_exchange.js';
 
-/** The exchanges in progress. */
+/** The open exchanges. */
 export interface Exchanges {
-  /** The path is empty when the target of the request is none. */
+  /**
+   * Registers an exchange. Its path is empty if the request target is not a
+   * path.
+   */
   open(request: IncomingMessage, response: ServerResponse): HttpExchange;
   count(): number;
-  /** The answer in progress on a connection. */
+  /** Returns the response in progress on a connection. */
   findResponse(socket: Socket): ServerResponse | undefined;
-  /** From now on, each answer is its connection's last. */
+  /** From now on, connections close after their current response. */
   startDraining(): void;
   /** Resolves when no exchange is open. */
-  awaitNone(): Promise<void>;
-  /** Ends what is still open with an error. */
-  endAll(): void;
+  awaitIdle(): Promise<void>;
+  /** Aborts the open exchanges with an error. */
+  abortAll(): void;
   stop(): void;
 }
 
@@ -31,43 +34,42 @@
   socket: Socket;
   response: ServerResponse;
   controller: AbortController;
-  unread: number;
-  unreadSince: number;
+  unsentBytes: number;
+  unchangedSince: number;
 }
 
-/** Starts without exchanges. */
 export function createExchanges(clock: Clock, metrics: Metrics): Exchanges {
-  const open = new Set<OpenExchange>();
-  let draining = false;
-  let handleNone = () => {};
-  const cutCounter = metrics.createCounter(
+  const openExchanges = new Set<OpenExchange>();
+  let isDraining = false;
+  let handleIdle = () => {};
+  const slowCallerCounter = metrics.createCounter(
     'slow_callers_cut_total',
     'Callers cut off because they took nothing of their answer for too long.',
   );
 
   /**
-   * A caller that stops reading holds its answer's buffers and, through
-   * back-pressure, the endpoint's slot. Bytes that the connection has not
-   * taken since long are the sign; closing it frees both.
+   * Disconnects callers that stopped reading. Such a caller occupies the
+   * buffers of its response and, through back pressure, a slot at the endpoint.
+   * It is detected by buffered bytes whose number does not change.
    */
-  function checkReaders() {
+  function checkSlowCallers() {
     const now = clock.now();
-    for (const exchange of open) {
+    for (const exchange of openExchanges) {
       const {writableLength} = exchange.socket;
-      if (writableLength === 0 || writableLength !== exchange.unread) {
-        exchange.unread = writableLength;
-        exchange.unreadSince = now;
-      } else if (now - exchange.unreadSince >= SLOW_READ_TIMEOUT_MS) {
-        cutCounter.inc();
+      if (writableLength === 0 || writableLength !== exchange.unsentBytes) {
+        exchange.unsentBytes = writableLength;
+        exchange.unchangedSince = now;
+      } else if (now - exchange.unchangedSince >= SLOW_READ_TIMEOUT_MS) {
+        slowCallerCounter.inc();
         exchange.socket.destroy();
       }
     }
-    cancelCheck = clock.schedule(SLOW_READ_CHECK_MS, checkReaders);
+    cancelCheck = clock.schedule(SLOW_READ_CHECK_MS, checkSlowCallers);
   }
 
   let cancelCheck: CancelSchedule = clock.schedule(
     SLOW_READ_CHECK_MS,
-    checkReaders,
+    checkSlowCallers,
   );
 
   function addExchange(
@@ -78,27 +80,27 @@
       socket: request.socket,
       response,
       controller: new AbortController(),
-      unread: 0,
-      unreadSince: clock.now(),
+      unsentBytes: 0,
+      unchangedSince: clock.now(),
     };
-    open.add(exchange);
+    openExchanges.add(exchange);
     response.on('close', () => {
-      open.delete(exchange);
-      // An abort builds an error with its stack: none is due after a whole
-      // answer, when nobody waits for the signal any more.
+      openExchanges.delete(exchange);
+      // Aborting creates an error with a stack trace. After a complete response
+      // nothing waits for the signal, so that cost is avoided.
       if (!response.writableFinished) exchange.controller.abort();
-      if (open.size === 0) handleNone();
+      if (openExchanges.size === 0) handleIdle();
     });
     return exchange;
   }
 
   return {
-    count: () => open.size,
+    count: () => openExchanges.size,
     findResponse: socket =>
-      [...open].find(exchange => exchange.socket === socket)?.response,
+      [...openExchanges].find(exchange => exchange.socket === socket)?.response,
     open(request, response) {
       const {controller} = addExchange(request, response);
-      if (draining) response.setHeader('connection', 'close');
+      if (isDraining) response.setHeader('connection', 'close');
       const url = parseTarget(request.url ?? '/');
       return {
         request,
@@ -106,34 +108,36 @@
         path: url?.pathname ?? '',
         query: url?.searchParams ?? new URLSearchParams(),
         search: url?.search ?? '',
-        // Always our own: two callers that chose the same id would be given
-        // each other's stream by an engine that resumes by id.
+        // Never the caller's id: if two callers chose the same id, an engine
+        // that resumes by id would give them each other's stream.
         requestId: generateId('req'),
         signal: controller.signal,
       };
     },
     startDraining() {
-      draining = true;
-      for (const {response} of open) {
+      isDraining = true;
+      for (const {response} of openExchanges) {
         if (!response.headersSent) response.setHeader('connection', 'close');
       }
     },
-    awaitNone: () =>
+    awaitIdle: () =>
       new Promise(resolve => {
-        handleNone = resolve;
-        if (open.size === 0) resolve();
+        handleIdle = resolve;
+        if (openExchanges.size === 0) resolve();
       }),
-    endAll() {
+    abortAll() {
       const reason = new RouterError('draining', 'the instance is stopping', {
         verdict: 'not-run',
       });
-      for (const {controller} of open) controller.abort(reason);
+      for (const {controller} of openExchanges) controller.abort(reason);
     },
     stop: () => cancelCheck(),
   };
 }
 
-/** Undefined for a target that is no path, such as `//` or `*`. */
+/**
+ * Parses a request target; undefined if it is not a path, such as `//` or `*`.
+ */
 function parseTarget(target: string): URL | undefined {
   if (!target.startsWith('/')) return undefined;
   try {
--- a/src/instance/callers/http_exchange.ts
+++ b/src/instance/callers/http_exchange.ts
@@ -1,4 +1,4 @@
-/** Reading requests and writing answers on the callers' interface. */
+/** Reads requests and writes responses on the callers' interface. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {buildErrorBody, RouterError} from '../../common/errors.js';
 import {
@@ -8,32 +8,33 @@
   VERDICT_HEADER,
 } from './constants.js';
 
-/** One request of a caller and the way to answer it. */
+/** One request of a caller and its response. */
 export interface HttpExchange {
   request: IncomingMessage;
   response: ServerResponse;
   /** Path without the query. */
   path: string;
   query: URLSearchParams;
-  /** The query with its question mark, or nothing. */
+  /** The query with its question mark; empty if there is none. */
   search: string;
   requestId: string;
-  /** Aborted when the caller is gone or the instance must end. */
+  /** Aborted when the caller disconnects or the drain timeout expires. */
   signal: AbortSignal;
 }
 
-/** Reads the whole body; throws RouterError when it is larger than `limit`. */
+/** Reads the complete body; throws RouterError if it exceeds `limit` bytes. */
 export async function readBody(
   request: IncomingMessage,
   limit: number,
 ): Promise<Buffer> {
-  if (Number(request.headers['content-length']) > limit) throw failSize(limit);
+  if (Number(request.headers['content-length']) > limit)
+    throw buildTooLargeError(limit);
   const parts: Buffer[] = [];
   let size = 0;
   try {
     for await (const part of request.iterator({destroyOnReturn: false})) {
       size += (part as Buffer).length;
-      if (size > limit) throw failSize(limit);
+      if (size > limit) throw buildTooLargeError(limit);
       parts.push(part as Buffer);
     }
   } catch (error) {
@@ -42,7 +43,7 @@
   return Buffer.concat(parts);
 }
 
-function failSize(limit: number): RouterError {
+function buildTooLargeError(limit: number): RouterError {
   return new RouterError(
     'body_too_large',
     `the body is larger than ${limit} bytes`,
@@ -58,9 +59,9 @@
   });
 }
 
-/** Parses a JSON object; throws RouterError saying where it is wrong. */
+/** Parses a JSON object; throws RouterError if the body is not one. */
 export function parseJsonObject(body: Buffer): Record<string, unknown> {
-  const fail = (message: string) =>
+  const buildError = (message: string) =>
     new RouterError('invalid_request', message, {
       verdict: 'not-run',
       field: 'body',
@@ -69,15 +70,15 @@
   try {
     value = JSON.parse(body.toString('utf8'));
   } catch (error) {
-    throw fail(`the body is not JSON: ${(error as Error).message}`);
+    throw buildError(`the body is not JSON: ${(error as Error).message}`);
   }
   if (typeof value !== 'object' || value === null || Array.isArray(value)) {
-    throw fail('the body must be a JSON object');
+    throw buildError('the body must be a JSON object');
   }
   return value as Record<string, unknown>;
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response. */
 export function respondJson(
   exchange: HttpExchange,
   status: number,
@@ -90,7 +91,7 @@
   });
 }
 
-/** Answers with a body that is at hand. */
+/** Sends a response with the given body. */
 export function respondBytes(
   exchange: HttpExchange,
   status: number,
@@ -98,23 +99,24 @@
   headers: Record<string, string>,
 ): void {
   const {request, response} = exchange;
-  const isRead = request.complete;
+  const isBodyRead = request.complete;
   response.writeHead(status, {
     [REQUEST_ID_HEADER]: exchange.requestId,
     'content-length': body.length,
     ...headers,
-    ...(isRead ? {} : {connection: 'close'}),
+    ...(isBodyRead ? {} : {connection: 'close'}),
   });
-  if (isRead) response.end(body);
-  else respondUnread(exchange, body);
+  if (isBodyRead) response.end(body);
+  else respondBeforeBodyEnd(exchange, body);
 }
 
 /**
- * Answers a request whose body was not read to its end. Closing at once resets
- * the connection, and the caller then reads no answer at all; so the answer is
- * sent whole, and the rest of the body thrown away for a short while.
+ * Responds to a request whose body was not read completely. Closing immediately
+ * would reset the connection before the caller reads the response. Therefore
+ * the response is written first, and the rest of the body is discarded for a
+ * short time.
  */
-function respondUnread({request, response}: HttpExchange, body: Buffer) {
+function respondBeforeBodyEnd({request, response}: HttpExchange, body: Buffer) {
   response.write(body);
   const finish = () => {
     clearTimeout(timer);
@@ -125,7 +127,7 @@
   request.resume();
 }
 
-/** Answers with an error. Does nothing when the answer has begun. */
+/** Sends an error response. Does nothing if a response has already started. */
 export function respondError(exchange: HttpExchange, error: RouterError): void {
   if (exchange.response.headersSent) return;
   respondJson(
@@ -136,7 +138,7 @@
   );
 }
 
-/** The verdict, and when to come back. */
+/** Builds the headers with the verdict and, if busy, Retry-After. */
 export function buildErrorHeaders(error: RouterError): Record<string, string> {
   const headers: Record<string, string> = {[VERDICT_HEADER]: error.verdict};
   const isBusy = error.status === 429 || error.status === 503;
--- a/src/instance/callers/intent_expiry.ts
+++ b/src/instance/callers/intent_expiry.ts
@@ -1,8 +1,8 @@
 /**
- * Removes old intents. Beside each intent stands a row in the partition of the
- * hour it was written in, so that what is old is found without reading the
- * rest. Whoever writes an intent now and then removes some that are old: the
- * work follows the number of intents, and no instance is set aside for it.
+ * Removes expired intents. Each intent has a second row in a partition for the
+ * hour it was written in, so that old intents are found without reading the
+ * others. Instances that write intents periodically remove some old ones: the
+ * work is proportional to the writes and needs no dedicated instance.
  */
 import type {
   RowKey,
@@ -15,17 +15,19 @@
 
 const HOUR_MS = 3_600_000;
 
-/** How long a resend finds the first call: a day. */
+/** How long a resend finds the first call: one day. */
 const RETENTION_HOURS = 24;
 
-/** Hours before that in which rows may be left, looked at in turn. */
+/** Number of older hours that may still hold rows; they are swept in turn. */
 const SWEPT_HOURS = 48;
 
-/** One sweep for this many intents written, removing up to twice as many. */
+/** Intents written per sweep; a sweep removes up to twice as many. */
 const WRITES_PER_SWEEP = 20;
 const ROWS_PER_SWEEP = 2 * WRITES_PER_SWEEP;
 
-/** Rows that make an intent expire; written with it. */
+/**
+ * Builds the operations for an intent's expiry row, written in its transaction.
+ */
 export function buildExpiryOperations(
   id: string,
   wallNow: number,
@@ -40,13 +42,15 @@
   ];
 }
 
-/** Sweeps as intents are written. */
+/** Removes expired intents as new ones are written. */
 export interface IntentSweeper {
-  /** An intent was written; never throws. */
+  /**
+   * Counts an intent written and starts a sweep when one is due; never throws.
+   */
   note(wallNow: number): void;
 }
 
-/** `table` is the platform's. */
+/** `table` is the platform's table service. */
 export function createIntentSweeper(table: TableStore): IntentSweeper {
   let writes = 0;
   let sweeps = 0;
@@ -63,7 +67,8 @@
       if (writes % WRITES_PER_SWEEP !== 0) return;
       const hour = RETENTION_HOURS + 1 + (sweeps++ % SWEPT_HOURS);
       const partition = buildHourPartition(wallNow - hour * HOUR_MS);
-      // What fails now, or meets another instance's sweep, is swept later.
+      // After a failure or a conflict with another instance's sweep, the rows
+      // are removed by a later sweep.
       removeExpired(partition).catch(() => {});
     },
   };
--- a/src/instance/callers/intents.test.ts
+++ b/src/instance/callers/intents.test.ts
@@ -30,7 +30,7 @@
   };
 }
 
-/** Two instances on one platform. */
+/** Creates the intents of two instances that share one platform. */
 function createPair() {
   const platform = createMemoryPlatform();
   const [first, second] = [1, 2].map(() =>
@@ -45,25 +45,25 @@
 }
 
 describe('intents', () => {
-  it('let one of many resends at once run the call', async () => {
+  it('run a call once when it is resent many times concurrently', async () => {
     const {first, second} = createPair();
     const starts = await Promise.allSettled(
       Array.from({length: 10}, (_unused, index) =>
         (index % 2 ? first : second).start(makeCall(), 0),
       ),
     );
-    const ran = starts.filter(({status}) => status === 'fulfilled');
-    assert.equal(ran.length, 1);
+    const started = starts.filter(({status}) => status === 'fulfilled');
+    assert.equal(started.length, 1);
   });
 
-  it('give a resend the recorded end', async () => {
+  it('return the recorded outcome to a resend', async () => {
     const {first, second} = createPair();
     await finishRun(await first.start(makeCall(), 0), ANSWERED);
-    const again = await second.start(makeCall(), 1);
-    assert.deepEqual(again, {kind: 'recorded', end: ANSWERED});
+    const resent = await second.start(makeCall(), 1);
+    assert.deepEqual(resent, {kind: 'recorded', end: ANSWERED});
   });
 
-  it('keep the keys of accounts and services apart', async () => {
+  it('separate the keys of different accounts and services', async () => {
     const {first} = createPair();
     await first.start(makeCall(), 0);
     for (const other of [{account: 'planner'}, {service: 'drums'}]) {
@@ -71,7 +71,7 @@
     }
   });
 
-  it('refuse a key that comes with another call', async () => {
+  it('refuse a key that was used for another call', async () => {
     const {first, second} = createPair();
     await finishRun(await first.start(makeCall(), 0), ANSWERED);
     await assert.rejects(second.start(makeCall({fingerprint: 'other'}), 1), {
@@ -80,7 +80,7 @@
     });
   });
 
-  it('let a call run that was proved not to have run', async () => {
+  it('run a call again if the first attempt provably did not run', async () => {
     const {first, second} = createPair();
     await finishRun(await first.start(makeCall(), 0), {
       kind: 'failed',
@@ -92,29 +92,29 @@
     assert.equal((await first.start(makeCall(), 2)).kind, 'recorded');
   });
 
-  describe('an instance that dies with the call begun', () => {
-    // The caller of the resend is told to wait, and once the first can no
-    // longer be running, that it may have run. In neither case, nor when it
-    // asks only then, is the call run a second time.
+  describe('an instance that crashes during the call', () => {
+    // The intent stays started. A resend gets a conflict while the first call
+    // may still run, and outcome_unknown afterwards. The call must never run
+    // twice, also if the first resend comes only then.
     const STILL_RUNNING = {code: 'conflict', verdict: 'may-have-run'};
     const UNKNOWN = {code: 'outcome_unknown', verdict: 'may-have-run'};
 
-    it('is waited for, then its call ends as may-have-run', async () => {
+    it('causes a conflict first, then an unknown outcome', async () => {
       const {first, second} = createPair();
       await first.start(makeCall(), 0);
       await assert.rejects(second.start(makeCall(), 19_000), STILL_RUNNING);
       await assert.rejects(second.start(makeCall(), 21_000), UNKNOWN);
     });
 
-    it('ends as may-have-run for a resend that comes late', async () => {
+    it('causes an unknown outcome for a late resend', async () => {
       const {first, second} = createPair();
       await first.start(makeCall(), 0);
       await assert.rejects(second.start(makeCall(), 23 * HOUR_MS), UNKNOWN);
     });
   });
 
-  describe('without the store', () => {
-    it('refuse the call, which has not run', async () => {
+  describe('when the store fails', () => {
+    it('refuse the call without running it', async () => {
       const {platform, first} = createPair();
       platform.faults.down = true;
       await assert.rejects(first.start(makeCall(), 0), {
@@ -125,17 +125,17 @@
       assert.equal((await first.start(makeCall(), 0)).kind, 'run');
     });
 
-    it('do not run a call twice whose intent was written unseen', async () => {
-      // The first caller is told not-run, which is true. The write took
-      // effect although its answer was lost, so the resend cannot tell whether
-      // somebody runs the call, and does not.
+    it('do not run a call whose intent was written but not confirmed', async () => {
+      // The write took effect although the store's response was lost. The first
+      // caller correctly gets not-run. The resend finds the intent, cannot know
+      // whether the call runs, and so does not run it.
       const {platform, first, second} = createPair();
       platform.faults.answersToLose = 1;
       await assert.rejects(first.start(makeCall(), 0), {verdict: 'not-run'});
       await assert.rejects(second.start(makeCall(), 1), {code: 'conflict'});
     });
 
-    it('leave an end that cannot be recorded as may-have-run', async () => {
+    it('report may-have-run for an outcome that could not be recorded', async () => {
       const {platform, first, second} = createPair();
       const started = await first.start(makeCall(), 0);
       platform.faults.down = true;
@@ -147,7 +147,7 @@
     });
   });
 
-  it('are removed a day later by those that write new ones', async () => {
+  it('are removed after a day as new ones are written', async () => {
     const {platform, first} = createPair();
     const writeMany = async (name: string, wallNow: number) => {
       for (let index = 0; index < 20; index++) {
@@ -155,7 +155,8 @@
       }
     };
     await writeMany('old', 0);
-    // The first sweep, at 0, looked 25 hours back; the second looks 26.
+    // The first sweep, at time 0, covered the hour 25 hours back; the second
+    // covers the hour 26 hours back.
     await writeMany('new', 26 * HOUR_MS);
     await new Promise(resolve => setImmediate(resolve));
     const rows = await platform.table.query(INTENT_PARTITION);
--- a/src/instance/callers/intents.ts
+++ b/src/instance/callers/intents.ts
@@ -1,13 +1,15 @@
 /**
- * Intents: one row in the platform's table for each non-idempotent call that
- * came with an Idempotency-Key, written before the call runs.
+ * Runs a non-idempotent call with an Idempotency-Key at most once in the fleet.
  *
- * Failure it answers: the caller loses the answer and sends the call again, to
- * another instance, perhaps while the first is still at it or after it died.
- * Symptom: the call takes effect twice. The row is inserted only if absent, so
- * of all instances one runs the call; the others find how it ended, or that
- * nobody knows. A row whose instance died stays `started`; after its time it
- * is reported as may-have-run, and the call is never run again.
+ * A caller that loses the response resends the call to another instance, while
+ * the first instance still runs it or after that instance crashed. Without
+ * intents the call would take effect twice.
+ *
+ * An intent is a row in the platform's table that is written before the call
+ * runs, and only if it is absent. So one instance runs the call, and the others
+ * find its outcome or that it is unknown. The row of a crashed instance stays
+ * `started`; once the call can no longer be running it is reported as
+ * may-have-run, and the call is never run again.
  */
 import * as z from 'zod';
 import {hashText} from '../../common/ids.js';
@@ -26,25 +28,27 @@
   INTENT_PARTITION,
 } from './intent_expiry.js';
 import {
-  failInProgress,
-  failReused,
-  failStore,
-  failUnknown,
-} from './intent_failures.js';
+  buildInProgressError,
+  buildKeyReusedError,
+  buildStoreUnavailableError,
+  buildUnknownOutcomeError,
+} from './intent_errors.js';
 
-/** Answers up to this size are recorded, well inside a row's limit. */
+/**
+ * Responses up to this size are recorded; well below the size limit of a row.
+ */
 export const MAX_RECORDED_BYTES = 32 * 1024;
 
-/** Added to a call's deadline before it counts as ended without a trace. */
-const UNKNOWN_AFTER_MS = 10_000;
+/** Time after a call's deadline from which its outcome counts as unknown. */
+const UNKNOWN_OUTCOME_DELAY_MS = 10_000;
 
-/** How a call ended. */
+/** Schema of the recorded outcome of a call. */
 export const recordedEndSchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('answered'),
     status: z.number(),
     headers: z.record(z.string(), z.string()),
-    /** Base64; undefined when it was too large to record. */
+    /** Base64; undefined if it was too large to record. */
     body: z.string().optional(),
   }),
   z.strictObject({
@@ -55,10 +59,10 @@
   }),
 ]);
 
-/** A recorded end. */
+/** The recorded outcome of a call. */
 export type RecordedEnd = z.infer<typeof recordedEndSchema>;
 
-/** Which call is meant. */
+/** Identifies a call. */
 export interface IntentCall {
   account: string;
   service: string;
@@ -70,23 +74,23 @@
   remainingMs: number;
 }
 
-/** What is to be done with a call. */
+/** Whether to run a call or to return its recorded outcome. */
 export type IntentStart =
-  /** It is this instance's to run; `finish` is called once. */
+  /** This instance runs the call and then calls `finish` once. */
   | {kind: 'run'; finish(end: RecordedEnd): Promise<void>}
-  /** It ran before and ended so. */
+  /** The call ran before with this outcome. */
   | {kind: 'recorded'; end: RecordedEnd};
 
 /** The intents in the platform's table. */
 export interface Intents {
   /**
-   * Throws RouterError when the call runs elsewhere, when its outcome is
-   * unknown, when the key came with another call, or without the store.
+   * Starts a call. Throws RouterError if the call is already running, its
+   * outcome is unknown, the key was used for another call, or the store fails.
    */
   start(call: IntentCall, wallNow: number): Promise<IntentStart>;
 }
 
-/** `table` is the platform's. */
+/** `table` is the platform's table service. */
 export function createIntents(table: TableStore, metrics: Metrics): Intents {
   const sweeper = createIntentSweeper(table);
   const counter = metrics.createCounter(
@@ -98,7 +102,7 @@
   async function insertIntent(
     call: IntentCall,
     wallNow: number,
-    held: Row | undefined,
+    previous: Row | undefined,
   ): Promise<IntentStart | undefined> {
     const id = hashIntent(call);
     const operations: WriteOperation[] = [
@@ -108,18 +112,18 @@
         fields: {
           state: 'started',
           fingerprint: call.fingerprint,
-          endsBy: wallNow + call.remainingMs + UNKNOWN_AFTER_MS,
+          endsBy: wallNow + call.remainingMs + UNKNOWN_OUTCOME_DELAY_MS,
         },
-        condition: held
-          ? {kind: 'version', version: held.version}
+        condition: previous
+          ? {kind: 'version', version: previous.version}
           : {kind: 'absent'},
       },
-      ...(held ? [] : buildExpiryOperations(id, wallNow)),
+      ...(previous ? [] : buildExpiryOperations(id, wallNow)),
     ];
     const outcome = await table.transact(operations);
     if (outcome.kind === 'conflict') return undefined;
     counter.inc({outcome: 'run'});
-    const version = (held?.version ?? 0) + 1;
+    const version = (previous?.version ?? 0) + 1;
     return {kind: 'run', finish: end => finishIntent(call, version, end)};
   }
 
@@ -128,9 +132,9 @@
     version: number,
     end: RecordedEnd,
   ) {
-    const isFree = end.kind === 'failed' && end.verdict === 'not-run';
+    const mayRunAgain = end.kind === 'failed' && end.verdict === 'not-run';
     const fields: Fields = {
-      state: isFree ? 'not-run' : 'ended',
+      state: mayRunAgain ? 'not-run' : 'ended',
       fingerprint: call.fingerprint,
       end: JSON.stringify(end),
     };
@@ -140,8 +144,8 @@
         {kind: 'put', key, fields, condition: {kind: 'version', version}},
       ]);
     } catch {
-      // The caller still gets its answer; a resend finds the row as started
-      // and is told may-have-run, which is true.
+      // The caller still gets its response. A resend finds the row as started
+      // and correctly gets may-have-run.
       counter.inc({outcome: 'unrecorded'});
     }
   }
@@ -154,15 +158,16 @@
       const parsed = recordedEndSchema.parse(JSON.parse(String(end)));
       return {kind: 'recorded', end: parsed};
     }
-    const isOver = wallNow > Number(endsBy);
-    counter.inc({outcome: isOver ? 'unknown' : 'in-progress'});
-    throw isOver ? failUnknown() : failInProgress();
+    const hasExpired = wallNow > Number(endsBy);
+    counter.inc({outcome: hasExpired ? 'unknown' : 'in-progress'});
+    throw hasExpired ? buildUnknownOutcomeError() : buildInProgressError();
   }
 
   async function findIntent(call: IntentCall): Promise<Row | undefined> {
     const sort = hashIntent(call);
     const row = await table.get({partition: INTENT_PARTITION, sort});
-    if (row && row.fields.fingerprint !== call.fingerprint) throw failReused();
+    if (row && row.fields.fingerprint !== call.fingerprint)
+      throw buildKeyReusedError();
     return row;
   }
 
@@ -175,9 +180,9 @@
     const row = await findIntent(call);
     const found = row && readIntent(row, wallNow);
     if (found) return found;
-    const again = await insertIntent(call, wallNow, row);
-    if (again) return again;
-    throw failInProgress();
+    const restarted = await insertIntent(call, wallNow, row);
+    if (restarted) return restarted;
+    throw buildInProgressError();
   }
 
   return {
@@ -187,14 +192,15 @@
         if (started.kind === 'run') sweeper.note(wallNow);
         return started;
       } catch (thrown) {
-        if (thrown instanceof StoreError) throw failStore(thrown);
+        if (thrown instanceof StoreError)
+          throw buildStoreUnavailableError(thrown);
         throw thrown;
       }
     },
   };
 }
 
-/** Callers choose keys freely, so an account's keys are its own. */
+/** Callers choose keys freely, so each account has its own key space. */
 function hashIntent({account, service, key}: IntentCall): string {
   return hashText(`${account}\n${service}\n${key}`);
 }
--- a/src/instance/callers/malformed_requests.ts
+++ b/src/instance/callers/malformed_requests.ts
@@ -1,4 +1,4 @@
-/** Answers what Node's HTTP parser refuses, on the bare connection. */
+/** Responds on the socket to requests that Node's HTTP parser rejects. */
 import {STATUS_CODES} from 'node:http';
 import type {Socket} from 'node:net';
 import {
@@ -14,7 +14,7 @@
   message: string;
 }
 
-/** By the parser's error code; others are malformed HTTP. */
+/** Refusals by the parser's error code; other codes mean malformed HTTP. */
 const REFUSALS: Record<string, Refusal> = {
   HPE_HEADER_OVERFLOW: {
     code: 'headers_too_large',
@@ -31,7 +31,10 @@
   message: 'the request is not HTTP',
 };
 
-/** `hasAnswerBegun`: then nothing more can be said on the connection. */
+/**
+ * Sends an error response, or only closes the connection if a response has
+ * started.
+ */
 export function refuseMalformed(
   error: NodeJS.ErrnoException,
   socket: Socket,
@@ -44,11 +47,11 @@
   }
   const {code, message} = REFUSALS[error.code ?? ''] ?? MALFORMED;
   socket.end(
-    formatAnswer(new RouterError(code, message, {verdict: 'not-run'})),
+    formatResponse(new RouterError(code, message, {verdict: 'not-run'})),
   );
 }
 
-function formatAnswer(error: RouterError): string {
+function formatResponse(error: RouterError): string {
   const body = JSON.stringify(buildErrorBody(error));
   const headers = {
     ...buildErrorHeaders(error),
--- a/src/instance/callers/models_route.ts
+++ b/src/instance/callers/models_route.ts
@@ -1,4 +1,4 @@
-/** The models that a client account may use. */
+/** Lists the models that a client account may use. */
 import {RouterError} from '../../common/errors.js';
 import {authenticateCaller, listServicesOfAccount} from './admission.js';
 import type {CallerDependencies} from './callers.js';
@@ -18,12 +18,12 @@
   exchange: HttpExchange,
   dependencies: CallerDependencies,
 ): Promise<void> {
-  const wanted = decodeSegment(exchange.path.split('/')[3]);
-  if (listModels(exchange, dependencies).includes(wanted)) {
-    respondJson(exchange, 200, buildModel(wanted));
+  const modelId = decodeSegment(exchange.path.split('/')[3]);
+  if (listModels(exchange, dependencies).includes(modelId)) {
+    respondJson(exchange, 200, buildModel(modelId));
     return;
   }
-  throw new RouterError('not_found', `no model '${wanted}' for this account`, {
+  throw new RouterError('not_found', `no model '${modelId}' for this account`, {
     verdict: 'not-run',
     field: 'model',
   });
@@ -43,7 +43,10 @@
   return {id, object: 'model', created: 0, owned_by: 'mulberryrouter'};
 }
 
-/** A segment that is not well encoded stands for itself. */
+/**
+ * Percent-decodes a path segment; one that is not well encoded is returned as
+ * it is.
+ */
 function decodeSegment(segment: string): string {
   try {
     return decodeURIComponent(segment);
--- a/src/instance/callers/recorded_call.ts
+++ b/src/instance/callers/recorded_call.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a non-idempotent call under an Idempotency-Key: at most once over all
- * instances, with its end recorded for whoever sends it again.
+ * Runs a non-idempotent call with an Idempotency-Key: at most once in the
+ * fleet, with its outcome recorded for resends.
  */
 import {
   ERROR_KINDS,
@@ -20,7 +20,7 @@
 
 const KEY_PATTERN = /^[\x21-\x7e]{1,255}$/;
 
-/** Runs the call, or answers with how it ended before. */
+/** Runs the call, or responds with its recorded outcome. */
 export async function runRecordedCall(
   exchange: HttpExchange,
   {intents, execution, clock}: CallerDependencies,
@@ -40,8 +40,8 @@
     await respondRecorded(exchange, started.end);
     return;
   }
-  // The caller's leaving does not end the call: it has begun, cannot be taken
-  // back, and its answer is what a resend will ask for.
+  // The call continues after the caller disconnects: it cannot be undone, and a
+  // resend will need its response.
   const {signal} = new AbortController();
   const recorder = createAnswerRecorder();
   try {
--- a/src/instance/callers/routes.ts
+++ b/src/instance/callers/routes.ts
@@ -1,4 +1,4 @@
-/** The routes of the callers' interface, in one table. */
+/** The routes of the callers' interface. */
 import {BATCH_ROUTES} from '../batch/routes.js';
 import type {CallerDependencies} from './callers.js';
 import {handleCompletion} from './completions_route.js';
@@ -16,7 +16,7 @@
   ): Promise<void>;
 }
 
-/** Every route; the first that matches is taken. */
+/** All routes; the first match is used. */
 export const ROUTES: readonly Route[] = [
   {
     method: 'POST',
--- a/src/instance/callers/service_answer.ts
+++ b/src/instance/callers/service_answer.ts
@@ -1,11 +1,11 @@
-/** Writes the answers of plain services. */
+/** Writes the responses of plain services. */
 import type {ServerResponse} from 'node:http';
 import type {EndpointEvent} from '../endpoints/endpoint_adapter.js';
 import {createAnswerWriter} from './answer_writer.js';
 import {REQUEST_ID_HEADER, VERDICT_HEADER} from './constants.js';
 import type {HttpExchange} from './http_exchange.js';
 
-/** Passes an answer on as it comes. */
+/** Forwards a response as it arrives. */
 export async function forwardAnswer(
   exchange: HttpExchange,
   events: AsyncIterable<EndpointEvent>,
@@ -18,13 +18,15 @@
       if (event.kind === 'data') await writer.write(event.payload);
     }
   } catch (thrown) {
-    closeBroken(response);
+    abortResponse(response);
     throw thrown;
   }
   response.end();
 }
 
-/** The head of a service's answer, with the verdict on a failed call. */
+/**
+ * Writes the head of a service's response, with the verdict on a failed call.
+ */
 export function writeServiceHead(
   {response, requestId}: HttpExchange,
   {status, headers}: {status: number; headers: Record<string, string>},
@@ -37,9 +39,9 @@
 }
 
 /**
- * An answer that breaks off must not look whole: without its last chunk the
- * caller's HTTP library reports it as cut short.
+ * Closes the connection if the response has started. Without the last chunk the
+ * caller's HTTP library reports the response as incomplete.
  */
-function closeBroken(response: ServerResponse) {
+function abortResponse(response: ServerResponse) {
   if (response.headersSent) response.destroy();
 }
--- a/src/instance/callers/service_calls.ts
+++ b/src/instance/callers/service_calls.ts
@@ -1,4 +1,4 @@
-/** What a call to a plain service is, and whether it may be repeated. */
+/** Parses calls to plain services and decides whether they may be repeated. */
 import {RouterError} from '../../common/errors.js';
 import type {
   Configuration,
@@ -16,11 +16,11 @@
   path: string;
   /** Path and query, as sent to the endpoint. */
   target: string;
-  /** Whether the service document lists it as one that may be repeated. */
+  /** Whether the service document lists the call as idempotent. */
   idempotent: boolean;
 }
 
-/** Throws RouterError when the account has no such service. */
+/** Parses a call; throws RouterError if the account has no such service. */
 export function parseServiceCall(
   {request, path, search}: HttpExchange,
   configuration: Configuration,
@@ -60,7 +60,7 @@
   });
 }
 
-/** Entries read `GET /status`; a trailing `*` stands for any rest. */
+/** Matches entries such as `GET /status`; a trailing `*` matches any suffix. */
 function isRepeatable(
   {document}: VersionedDocument,
   method: string,
--- a/src/instance/callers/services_route.ts
+++ b/src/instance/callers/services_route.ts
@@ -1,4 +1,4 @@
-/** Passes calls through to plain services. */
+/** Forwards calls to plain services. */
 import type {ExecutionRequest} from '../execution/execution.js';
 import type {KeyOwner} from '../keys/key_directory.js';
 import {
@@ -15,7 +15,7 @@
 import {runRecordedCall} from './recorded_call.js';
 import {forwardAnswer} from './service_answer.js';
 
-/** Runs one call to a plain service and passes its answer on. */
+/** Runs one call to a plain service and forwards its response. */
 export async function handleServiceCall(
   exchange: HttpExchange,
   dependencies: CallerDependencies,
--- a/src/instance/gateway/gateway.ts
+++ b/src/instance/gateway/gateway.ts
@@ -50,8 +50,10 @@
   address: string;
   /** From now on, connections close after their current response. */
   startDraining(): void;
-  /** Resolves when all responses have ended, at the latest after `boundMs`. */
-  drain(boundMs: number): Promise<void>;
+  /**
+   * Resolves when all responses have ended, at the latest after `timeoutMs`.
+   */
+  drain(timeoutMs: number): Promise<void>;
 }
 
 /** Starts to listen; port 0 selects a free port. */
@@ -82,7 +84,7 @@
   return {
     address,
     startDraining: () => exchanges.startDraining(),
-    drain: boundMs => drainServer(server, exchanges, clock, boundMs),
+    drain: timeoutMs => drainServer(server, exchanges, clock, timeoutMs),
     describeState: () => ({open: exchanges.count()}),
   };
 }
