--- a/src/stores/collections.ts
+++ b/src/stores/collections.ts
@@ -1,22 +1,24 @@
 /**
- * Collections: rows that are followed together. A partition is named
- * `collection/shard`; a transaction stays within one shard, whatever the
- * collections, so rows that change together go into shards of one name.
+ * Collections: sets of rows that are watched together. A partition is named
+ * `collection/shard`. A transaction may span collections but not shards, so
+ * rows that change together are put into shards of the same name.
  */
 import type {Row, RowKey} from './table_store.js';
 
-/** A partition's two parts; one without a shard is its collection's only one. */
+/**
+ * The parts of a partition name; the shard is empty if the collection has only
+ * one.
+ */
 export interface PartitionName {
   collection: string;
   shard: string;
 }
 
-/** Name of a partition. */
 export function buildPartition(collection: string, shard = ''): string {
   return `${collection}/${shard}`;
 }
 
-/** The parts of a partition's name. */
+/** Splits a partition name into its parts. */
 export function splitPartition(partition: string): PartitionName {
   const slash = partition.indexOf('/');
   if (slash < 0) return {collection: partition, shard: ''};
@@ -26,24 +28,24 @@
   };
 }
 
-/** A row that was written, or `row` undefined where it was deleted. */
+/** A row that was written; `row` is undefined if it was deleted. */
 export interface RowChange {
   key: RowKey;
   row: Row | undefined;
 }
 
-/** Told of a collection's rows, in the order in which they changed. */
+/** Receives a collection's rows, in the order in which they changed. */
 export interface CollectionListener {
-  /** All rows as they are now; whatever was known before is void. */
+  /** Receives all current rows, which replace those received before. */
   reset(rows: readonly Row[]): void;
   change(changes: readonly RowChange[]): void;
 }
 
-/** Follows collections. */
+/** Watches collections for changes. */
 export interface CollectionWatch {
   /**
-   * Tells all rows once and then each change; goes on after failures. The
-   * returned function ends it.
+   * Passes all rows to the listener once and then each change; continues after
+   * failures. The returned function stops it.
    */
   watch(collection: string, listener: CollectionListener): () => void;
 }
--- a/src/stores/create_platform.ts
+++ b/src/stores/create_platform.ts
@@ -1,4 +1,6 @@
-/** The platform of an instance's settings, over the published protocols. */
+/**
+ * Connects to the platform of an instance's settings over its public protocols.
+ */
 import type {Clock} from '../common/clock.js';
 import type {Metrics} from '../common/metrics.js';
 import type {StateSource} from '../common/state_dump.js';
@@ -21,14 +23,14 @@
   close(): Promise<void>;
 }
 
-/** What the adapters work with. `random` draws from 0 to 1. */
+/** Dependencies of the adapters. `random` returns a number from 0 to 1. */
 export interface PlatformDependencies {
   clock: Clock;
   metrics?: Metrics;
   random?: () => number;
 }
 
-/** Connects on first use. */
+/** Creates the adapters, which connect on first use. */
 export function createPlatform(
   settings: Settings['platform'],
   {clock, metrics, random = Math.random}: PlatformDependencies,
@@ -85,7 +87,7 @@
     }),
     describeState: () => ({
       out: Object.entries(retriers)
-        .filter(([, retrier]) => retrier.isOut())
+        .filter(([, retrier]) => retrier.isUnavailable())
         .map(([service]) => service),
     }),
     async close() {
--- a/src/stores/dynamo_codec.ts
+++ b/src/stores/dynamo_codec.ts
@@ -1,7 +1,7 @@
 /**
- * Rows, conditions and transactions in the DynamoDB JSON protocol. A row is an
- * item with its key (`pk`, `sk`), version (`v`), write id (`w`) and the map of
- * its fields (`f`).
+ * Encodes and decodes rows, conditions and transactions of the DynamoDB JSON
+ * protocol. A row is an item with its key (`pk`, `sk`), version (`v`), write id
+ * (`w`) and the map of its fields (`f`).
  */
 import * as z from 'zod';
 import {
@@ -23,7 +23,7 @@
 /** A scalar on the wire. */
 export type Attribute = z.infer<typeof attributeSchema>;
 
-/** A row on the wire. */
+/** Schema of a row on the wire. */
 export const itemSchema = z.object({
   pk: z.strictObject({S: z.string()}),
   sk: z.strictObject({S: z.string()}),
@@ -41,29 +41,29 @@
   boolean: value => ({BOOL: Boolean(value)}),
 };
 
-/** A scalar as it is sent. */
+/** Encodes a scalar. */
 export function encodeAttribute(value: FieldValue): Attribute {
   return ENCODERS[typeof value](value);
 }
 
-/** A scalar as it was received. */
+/** Decodes a scalar. */
 export function decodeAttribute(attribute: Attribute): FieldValue {
   if ('S' in attribute) return attribute.S;
   if ('N' in attribute) return Number(attribute.N);
   return attribute.BOOL;
 }
 
-/** A row's key as it is sent. */
+/** Encodes a row's key. */
 export function encodeKey(key: RowKey) {
   return {pk: {S: key.partition}, sk: {S: key.sort}};
 }
 
-/** A row's key as it was received. */
+/** Decodes a row's key. */
 export function decodeKey(item: Pick<Item, 'pk' | 'sk'>): RowKey {
   return {partition: item.pk.S, sort: item.sk.S};
 }
 
-/** A row as it is sent. */
+/** Encodes a row. */
 export function encodeItem(row: Row): Item {
   const fields = Object.entries(row.fields).map(
     ([name, value]) => [name, encodeAttribute(value)] as const,
@@ -76,7 +76,7 @@
   };
 }
 
-/** A row as it was received; throws ZodError for one not written here. */
+/** Decodes a row; throws ZodError for one that this program did not write. */
 export function decodeItem(received: unknown): Row {
   const item = itemSchema.parse(received);
   const fields: Fields = {};
@@ -91,7 +91,7 @@
   };
 }
 
-/** A condition as it is sent. */
+/** A condition on the wire. */
 export interface EncodedCondition {
   ConditionExpression: string;
   ExpressionAttributeNames?: Record<string, string>;
@@ -129,7 +129,7 @@
   };
 }
 
-/** A condition as it is sent. */
+/** Encodes a condition. */
 export function encodeCondition(condition: Condition): EncodedCondition {
   const encode = CONDITION_ENCODERS[condition.kind] as (
     condition: Condition,
@@ -143,7 +143,7 @@
   check: 'ConditionCheck',
 } as const;
 
-/** One step of a transaction as it is sent. */
+/** Encodes one operation of a transaction. */
 export function encodeOperation(
   table: string,
   operation: WriteOperation,
--- a/src/stores/dynamo_errors.ts
+++ b/src/stores/dynamo_errors.ts
@@ -1,4 +1,4 @@
-/** Errors of the DynamoDB JSON protocol, and what they mean for a write. */
+/** Maps errors of the DynamoDB JSON protocol to their effect on a write. */
 import * as z from 'zod';
 import type {StoreResponse} from './http_transport.js';
 import {StoreFailure} from './store_failure.js';
@@ -9,7 +9,9 @@
   CancellationReasons: z.array(z.object({Code: z.string()})).default([]),
 });
 
-/** The service is up but takes no more just now; nothing was written. */
+/**
+ * Codes of a service that is up but throttles the request; nothing was written.
+ */
 const BUSY_CODES = new Set([
   'ProvisionedThroughputExceededException',
   'ThrottlingException',
@@ -20,12 +22,17 @@
   'TransactionConflict',
 ]);
 
-/** The first try is still being worked on: its outcome is not known yet. */
+/**
+ * Code for a first attempt that is still in progress: its outcome is not known
+ * yet.
+ */
 const IN_PROGRESS_CODE = 'TransactionInProgressException';
 
 const CONDITION_FAILED = 'ConditionalCheckFailed';
 
-/** A transaction's condition did not hold; `index` tells of which operation. */
+/**
+ * A condition of a transaction did not hold; `index` is that of its operation.
+ */
 export class ConditionFailure extends Error {
   readonly index: number;
 
@@ -36,7 +43,10 @@
   }
 }
 
-/** The body of a good answer; throws ConditionFailure or StoreFailure. */
+/**
+ * Returns the body of a 200 response; throws ConditionFailure or StoreFailure
+ * otherwise.
+ */
 export function readDynamoAnswer(response: StoreResponse): unknown {
   const text = response.body.toString('utf8');
   if (response.status === 200) return parseJson(text);
@@ -58,10 +68,10 @@
   const reasons = error.CancellationReasons.map(reason => reason.Code);
   const index = reasons.indexOf(CONDITION_FAILED);
   if (index >= 0) return new ConditionFailure(index);
-  const busy = [code, ...reasons].some(one => BUSY_CODES.has(one));
+  const isBusy = [code, ...reasons].some(each => BUSY_CODES.has(each));
   return new StoreFailure(`the table refused: ${code} ${error.message}`, {
     effect: code === IN_PROGRESS_CODE ? 'unknown' : 'none',
-    retryable: busy || code === IN_PROGRESS_CODE || status === 429,
+    retryable: isBusy || code === IN_PROGRESS_CODE || status === 429,
   });
 }
 
--- a/src/stores/dynamo_table.ts
+++ b/src/stores/dynamo_table.ts
@@ -1,4 +1,4 @@
-/** The table service over the DynamoDB JSON protocol. */
+/** Client of the table service over the DynamoDB JSON protocol. */
 import * as z from 'zod';
 import {decodeItem, encodeKey, encodeOperation} from './dynamo_codec.js';
 import {ConditionFailure, readDynamoAnswer} from './dynamo_errors.js';
@@ -25,7 +25,7 @@
   LastEvaluatedKey: z.record(z.string(), z.unknown()).optional(),
 });
 
-/** What the adapter works with. */
+/** Dependencies of the adapter. */
 export interface DynamoTableDependencies {
   url: string;
   /** Name of the table in the service. */
@@ -35,7 +35,7 @@
   retrier: Retrier;
 }
 
-/** Speaks to one table. */
+/** Creates the client of one table. */
 export function createDynamoTable(
   dependencies: DynamoTableDependencies,
 ): TableStore {
--- a/src/stores/http_instance_list.ts
+++ b/src/stores/http_instance_list.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's instance list over plain HTTP: GET answers a JSON array, with
- * an ETag where the platform gives one.
+ * Reads the platform's instance list over plain HTTP: GET returns a JSON array,
+ * with an ETag if the platform supports it.
  */
 import {gunzipSync} from 'node:zlib';
 import * as z from 'zod';
@@ -16,32 +16,32 @@
 const STATUS_OK = 200;
 const STATUS_NOT_MODIFIED = 304;
 
-/** Fields added to the list later do no harm. */
+/** Accepts unknown fields, which may be added to the list later. */
 const entrySchema = z.object(listedInstanceSchema.shape);
 
-/** What the adapter works with. */
+/** Dependencies of the adapter. */
 export interface HttpInstanceListDependencies {
   url: string;
   transport: HttpTransport;
   retrier: Retrier;
-  /** Told how many entries of an answer could not be used. */
+  /** Receives the number of invalid entries of a response. */
   noteBadEntries(count: number): void;
 }
 
-/** The newest list, and what the platform calls that version of it. */
-interface KnownList {
+/** The latest list and the ETag of its version. */
+interface CachedList {
   etag: string | undefined;
   listed: ListedInstance[];
 }
 
 /**
- * Reads the list. An entry that breaks the schema is left out and counted: one
- * bad entry must not make the fleet blind for all the others.
+ * Reads the list. An entry that violates the schema is left out and counted, so
+ * that one invalid entry does not hide all the others from the fleet.
  *
- * Each instance asks once a second. At 360 instances and 1,900 endpoints the
- * list is about 400 KB: whole and in the clear it would be thirty times what
- * control may send, and reading it 1% of a core. So it is asked for only if it
- * has changed, and compressed.
+ * Each instance requests the list once a second. At 360 instances and 1,900
+ * endpoints it is about 400 KB. Sent each time and uncompressed, it would be 30
+ * times the bandwidth allowed for control traffic, and parsing it would take 1%
+ * of a core. Therefore it is requested only if it has changed, and compressed.
  */
 export function createHttpInstanceList({
   url,
@@ -49,20 +49,20 @@
   retrier,
   noteBadEntries,
 }: HttpInstanceListDependencies): InstanceList {
-  let known: KnownList = {etag: undefined, listed: []};
+  let cached: CachedList = {etag: undefined, listed: []};
 
-  async function fetchChanged(): Promise<StoreResponse> {
+  async function fetchIfChanged(): Promise<StoreResponse> {
     const headers: Record<string, string> = {
       accept: 'application/json',
       'accept-encoding': 'gzip',
     };
-    if (known.etag !== undefined) headers['if-none-match'] = known.etag;
+    if (cached.etag !== undefined) headers['if-none-match'] = cached.etag;
     const answer = await transport.send({method: 'GET', url, headers});
-    if (answer.status === STATUS_NOT_MODIFIED && known.etag !== undefined) {
+    if (answer.status === STATUS_NOT_MODIFIED && cached.etag !== undefined) {
       return answer;
     }
     if (answer.status === STATUS_OK) return answer;
-    throw failList(`the instance list answered ${answer.status}`);
+    throw buildListFailure(`the instance list answered ${answer.status}`);
   }
 
   function readList(answer: StoreResponse): ListedInstance[] {
@@ -77,25 +77,25 @@
 
   return {
     async fetch() {
-      const answer = await retrier.run(fetchChanged);
+      const answer = await retrier.run(fetchIfChanged);
       if (answer.status === STATUS_OK) {
-        known = {etag: answer.headers.etag, listed: readList(answer)};
+        cached = {etag: answer.headers.etag, listed: readList(answer)};
       }
-      return known.listed;
+      return cached.listed;
     },
   };
 }
 
 function decodeEntries({headers, body}: StoreResponse): unknown[] {
   try {
-    const isZipped = headers['content-encoding'] === 'gzip';
-    const text = (isZipped ? gunzipSync(body) : body).toString('utf8');
+    const isGzipped = headers['content-encoding'] === 'gzip';
+    const text = (isGzipped ? gunzipSync(body) : body).toString('utf8');
     return z.array(z.unknown()).parse(JSON.parse(text));
   } catch (cause) {
-    throw failList('the instance list is no JSON array', cause);
+    throw buildListFailure('the instance list is no JSON array', cause);
   }
 }
 
-function failList(message: string, cause?: unknown): StoreFailure {
+function buildListFailure(message: string, cause?: unknown): StoreFailure {
   return new StoreFailure(message, {effect: 'none', retryable: true, cause});
 }
--- a/src/stores/http_transport.ts
+++ b/src/stores/http_transport.ts
@@ -1,34 +1,38 @@
-/** HTTP to one service of the platform; failures say whether it may have run. */
+/**
+ * HTTP client of one platform service; failures say whether the request may
+ * have run.
+ */
 import {Agent, type Dispatcher} from 'undici';
 import {CONNECT_TIMEOUT_MS, CONNECTIONS} from './constants.js';
 import {StoreFailure} from './store_failure.js';
 
-/** A request to a service. */
 export interface StoreRequest {
   method: 'GET' | 'HEAD' | 'PUT' | 'POST' | 'DELETE';
   url: string;
   headers: Record<string, string>;
   body?: string | Uint8Array;
-  /** Longest wait for the whole answer, where it is not the transport's. */
+  /** Timeout for the complete response; defaults to the transport's. */
   timeoutMs?: number;
-  /** Ends the wait for the answer. */
+  /** Aborts the request. */
   signal?: AbortSignal;
 }
 
-/** Its whole answer. */
+/** A complete response. */
 export interface StoreResponse {
   status: number;
   headers: Record<string, string | undefined>;
   body: Buffer;
 }
 
-/** Sends requests; throws StoreFailure when no answer came. */
+/** Sends requests; throws StoreFailure if there is no response. */
 export interface HttpTransport {
   send(request: StoreRequest): Promise<StoreResponse>;
   close(): Promise<void>;
 }
 
-/** Errors raised before any byte of the request was written to a socket. */
+/**
+ * Error codes raised before any byte of the request was written to a socket.
+ */
 const NEVER_SENT_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -36,13 +40,15 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** How a service is connected to; both have defaults. */
 export interface TransportOptions {
   connections?: number;
   connectTimeoutMs?: number;
 }
 
-/** `attemptTimeoutMs` bounds one try from its start to the answer's end. */
+/**
+ * `attemptTimeoutMs` bounds one attempt from its start to the end of the
+ * response.
+ */
 export function createHttpTransport(
   attemptTimeoutMs: number,
   {
@@ -87,8 +93,8 @@
 
 function toFailure(error: unknown): StoreFailure {
   const {code = '', name} = error as {code?: string; name?: string};
-  const what = name === 'TimeoutError' ? 'no answer in time' : code || name;
-  return new StoreFailure(`the platform gave no answer: ${what}`, {
+  const reason = name === 'TimeoutError' ? 'no answer in time' : code || name;
+  return new StoreFailure(`the platform gave no answer: ${reason}`, {
     effect: NEVER_SENT_CODES.has(code) ? 'none' : 'unknown',
     retryable: true,
     cause: error,
--- a/src/stores/instance_list.ts
+++ b/src/stores/instance_list.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's list of live and leaving instances. It lags by seconds, so
- * whoever needs to know sooner asks the instance itself.
+ * The platform's list of live and leaving instances. It lags by seconds; code
+ * that needs the current state asks the instance itself.
  */
 import * as z from 'zod';
 import {addressSchema, nameSchema} from '../common/units.js';
@@ -8,19 +8,21 @@
 /** One entry of the list. */
 export const listedInstanceSchema = z.strictObject({
   name: nameSchema,
-  /** `entry`: runs this program. `endpoint`: answers requests of a service. */
+  /**
+   * `entry`: runs this program. `endpoint`: serves the requests of a service.
+   */
   role: z.enum(['entry', 'endpoint']),
-  /** Where peers (entry) or requests (endpoint) reach it. */
+  /** Address for peers (entry) or for requests (endpoint). */
   address: addressSchema,
   region: nameSchema,
   failureDomain: nameSchema,
-  /** The service an endpoint answers for. */
+  /** The service that an endpoint belongs to. */
   service: nameSchema.optional(),
-  /** Requests an endpoint runs at once, where it says so. */
+  /** Number of requests an endpoint runs concurrently, if it reports one. */
   slots: z.number().int().positive().optional(),
   /** Wall time at which an entry instance started, in ms. */
   startedAt: z.number().optional(),
-  /** Cores an entry instance may use, where it says so. */
+  /** Number of cores an entry instance may use, if it reports one. */
   capacity: z.number().optional(),
   state: z.enum(['live', 'leaving']),
 });
@@ -28,7 +30,9 @@
 /** An instance as the platform lists it. */
 export type ListedInstance = z.infer<typeof listedInstanceSchema>;
 
-/** Reads the list; throws StoreError when the platform gives no answer. */
+/**
+ * Reads the list; throws StoreError if the platform gives no usable response.
+ */
 export interface InstanceList {
   fetch(): Promise<ListedInstance[]>;
 }
--- a/src/stores/object_store.ts
+++ b/src/stores/object_store.ts
@@ -1,4 +1,6 @@
-/** The platform's object store: whole immutable objects under names. */
+/**
+ * The platform's object store, which holds complete, immutable objects by name.
+ */
 
 /** Bytes `start` to `end` (exclusive) of an object. */
 export interface ByteRange {
@@ -7,41 +9,51 @@
 }
 
 /**
- * An object written piece by piece, so that one larger than an instance's
- * memory can be stored. Nothing is to be seen under its name before `complete`.
+ * Writes an object in pieces, so that it may be larger than an instance's
+ * memory. The object is not visible before `complete`.
  */
 export interface ObjectUpload {
-  /** Pieces may be of any size; a promise at a time, in order. */
+  /** Appends a piece of any size; wait for each call before the next. */
   append(piece: Uint8Array): Promise<void>;
-  /** Makes the pieces one object, in place of any of that name. */
+  /** Makes the pieces one object, which replaces any of that name. */
   complete(): Promise<void>;
-  /** Gives the pieces up; harmless after `complete` or a failure. */
+  /**
+   * Discards the pieces; does nothing after `complete` and may follow a
+   * failure.
+   */
   cancel(): Promise<void>;
 }
 
-/** The object store. All methods throw StoreError when it gives no answer. */
+/**
+ * The object store. All methods throw StoreError if it gives no usable
+ * response.
+ */
 export interface ObjectStore {
-  /** Writes a whole object; writing the same name again replaces it. */
+  /** Writes a complete object; writing the same name again replaces it. */
   put(name: string, body: Uint8Array): Promise<void>;
-  /** Begins an object of unknown size. */
+  /** Starts the upload of an object of unknown size. */
   openUpload(name: string): Promise<ObjectUpload>;
-  /** The object, or a range of it; undefined when there is none. */
+  /** Returns the object or a range of it; undefined if there is none. */
   get(name: string, range?: ByteRange): Promise<Buffer | undefined>;
   /**
-   * The object piece by piece; undefined when there is none. The iteration
-   * throws StoreError when the store breaks off.
+   * Returns the object in pieces; undefined if there is none. The iteration
+   * throws StoreError if the store fails.
    */
   stream(
     name: string,
     range?: ByteRange,
   ): Promise<AsyncIterable<Buffer> | undefined>;
-  /** Harmless when there is no such object. */
+  /** Deletes an object; does nothing if there is none. */
   delete(name: string): Promise<void>;
-  /** Names that start with `prefix`, sorted, at most 1,000 after `after`. */
+  /**
+   * Lists names that start with `prefix`, sorted, at most 1,000 after `after`.
+   */
   list(prefix: string, after?: string): Promise<string[]>;
 }
 
-/** What is needed of a store for objects that fit into memory. */
+/**
+ * The part of an object store that is needed for objects that fit into memory.
+ */
 export interface SmallObjects {
   put(name: string, body: Uint8Array): Promise<void>;
   get(name: string): Promise<Buffer | undefined>;
--- a/src/stores/platform.test.ts
+++ b/src/stores/platform.test.ts
@@ -1,4 +1,4 @@
-/** What holds of every platform, and of the adapters when it fails. */
+/** Contract of every platform, and the adapters' behaviour when it fails. */
 import assert from 'node:assert/strict';
 import {after, before, describe, it} from 'node:test';
 import {createRetrier} from './retrier.js';
@@ -51,7 +51,7 @@
     });
     after(() => tested.close());
 
-    it('commits all operations of a transaction or none', async () => {
+    it('commits a transaction atomically', async () => {
       const fields = {text: 'x', number: 1.5, flag: true, 'odd name': ''};
       const first = await table.transact([makePut(fields)]);
       assert.equal(first.kind, 'committed');
@@ -83,15 +83,15 @@
         kind: 'conflict',
         index: 0,
       });
-      const kept = await table.transact([check({state: 'held', n: 1})]);
-      assert.equal(kept.kind, 'committed');
+      const matched = await table.transact([check({state: 'held', n: 1})]);
+      assert.equal(matched.kind, 'committed');
       const condition = {kind: 'version', version: 1} as const;
       await table.transact([{kind: 'delete', key, condition}]);
       assert.equal(await table.get(key), undefined);
       assert.equal((await table.transact([check({})])).kind, 'conflict');
     });
 
-    it('reads ranges of a partition, also over many answers', async () => {
+    it('reads ranges of a partition, also over several pages', async () => {
       const text = 'x'.repeat(300_000);
       for (const sort of ['p-1', 'p-2', 'p-3', 'p-4', 'p-5', 'q-1']) {
         await table.transact([makePut({text}, 0, {partition: 'wide', sort})]);
@@ -105,7 +105,7 @@
       assert.deepEqual(await list({prefix: 'p', after: 'q'}), []);
     });
 
-    it('refuses what the service would refuse', async () => {
+    it('refuses a repeated key and a row that is too large', async () => {
       const twice = [makePut({}, 0), makePut({}, 0)];
       await assert.rejects(table.transact(twice), StoreError);
       const long = {text: 'x'.repeat(500_000)};
@@ -134,7 +134,7 @@
       assert.deepEqual(await objects.list('files/'), ['files/b']);
     });
 
-    it('stores an object piece by piece and streams it', async () => {
+    it('stores an object in pieces and streams it', async () => {
       const {objects} = tested.platform;
       const piece = Buffer.alloc(3_000_000, 'drum');
       const pieces = Math.ceil((2 * UPLOAD_PART_BYTES) / piece.length) + 1;
@@ -142,15 +142,15 @@
       for (let at = 0; at < pieces; at++) await upload.append(piece);
       assert.equal(await objects.get('bundle'), undefined);
       await upload.complete();
-      const whole = Buffer.concat(Array(pieces).fill(piece));
+      const expected = Buffer.concat(Array(pieces).fill(piece));
       const read = await collectStream(await objects.stream('bundle'));
-      assert.ok(read.equals(whole));
+      assert.ok(read.equals(expected));
       const range = {start: 1, end: 10_000_001};
       const part = await collectStream(await objects.stream('bundle', range));
-      assert.ok(part.equals(whole.subarray(1, 10_000_001)));
-      const given = await objects.openUpload('given-up');
-      await given.append(piece);
-      await given.cancel();
+      assert.ok(part.equals(expected.subarray(1, 10_000_001)));
+      const cancelled = await objects.openUpload('given-up');
+      await cancelled.append(piece);
+      await cancelled.cancel();
       assert.equal(await objects.get('given-up'), undefined);
     });
 
@@ -165,9 +165,9 @@
 const LIST_TIMEOUT_MS = 5000;
 
 describe('the instance list over HTTP', () => {
-  // Each instance asks once a second: a list of 400 KB, sent each time, is
-  // thirty times what control may send.
-  it('is sent whole only when it has changed, and compressed', async () => {
+  // Each instance requests the list once a second. A list of 400 KB, sent each
+  // time, would be 30 times the bandwidth allowed for control traffic.
+  it('is sent only when it has changed, and compressed', async () => {
     const server = await createPlatformServer();
     const transport = createHttpTransport(LIST_TIMEOUT_MS);
     const sizes: number[] = [];
@@ -217,10 +217,10 @@
   });
   after(() => tested.close());
 
-  it('finds a transaction whose answer was lost', async () => {
-    // The writer would take its own write for a rival's: the service commits,
-    // the connection breaks, and the row no longer meets the condition. The
-    // write id in the row tells whose write it was.
+  it('recognises its committed transaction after a lost response', async () => {
+    // The service commits, the connection breaks, and the row no longer meets
+    // the condition. Without the write id in the row, the writer would take its
+    // own write for that of another writer.
     for (const round of [0, 1]) {
       tested.memory.faults.answersToLose = 1;
       const outcome = await table.transact([makePut({round}, round)]);
@@ -229,7 +229,7 @@
     }
   });
 
-  it('finds a delete whose answer was lost by its request token', async () => {
+  it('recognises its committed delete by the request token', async () => {
     const key = {partition: 'tests', sort: 'deleted'};
     await table.transact([makePut({}, 0, key)]);
     tested.memory.faults.answersToLose = 1;
@@ -238,16 +238,16 @@
     assert.equal(outcome.kind, 'committed');
   });
 
-  it('reports a rival that won while an answer was outstanding', async () => {
+  it('reports a conflict when another writer was first', async () => {
     const key = {partition: 'tests', sort: 'raced'};
     await tested.memory.table.transact([makePut({by: 'rival'}, 0, key)]);
     const outcome = await table.transact([makePut({by: 'me'}, 0, key)]);
     assert.deepEqual(outcome, {kind: 'conflict', index: 0});
   });
 
-  it('says that a write may have taken effect when no answer came', async () => {
-    // Five lost answers in a row, read-backs broken as well: nothing may be
-    // said of the write but that it is unclear.
+  it('reports an unknown effect for a write without a response', async () => {
+    // The response to the write is lost, and the reads that would settle it
+    // fail as well. The only correct report is that the effect is unknown.
     const key = {partition: 'tests', sort: 'unclear'};
     tested.memory.faults.answersToLose = 1;
     const writing = table.transact([makePut({}, 0, key)]);
@@ -260,7 +260,7 @@
     tested.memory.faults.downServices = [];
   });
 
-  it('waits out a service that is over its capacity', async () => {
+  it('retries until a throttled service accepts the request', async () => {
     tested.memory.faults.throttled = true;
     const reading = tested.platform.objects.get('bundle');
     await waitUntil(() => tested.memory.counts.throttled > 0);
@@ -268,7 +268,7 @@
     assert.equal(await reading, undefined);
   });
 
-  it('finds an upload whose completion was not answered', async () => {
+  it('recognises its completed upload after a lost response', async () => {
     const {objects} = tested.platform;
     const upload = await objects.openUpload('answer-lost');
     const piece = Buffer.alloc(UPLOAD_PART_BYTES, 'a');
--- a/src/stores/polled_watch.ts
+++ b/src/stores/polled_watch.ts
@@ -1,6 +1,6 @@
 /**
- * Follows collections of a table that tells no changes, by reading them again.
- * For collections of few rows in one shard, that change seldom.
+ * Watches collections of a table without change notifications by polling. Meant
+ * for collections of few rows in one shard that seldom change.
  */
 import {
   buildPartition,
@@ -9,25 +9,28 @@
 } from './collections.js';
 import type {Row, TableStore} from './table_store.js';
 
-/** A watch that looks when it is told to. */
+/** A watch that reads the table only in `poll`. */
 export interface PolledWatch extends CollectionWatch {
-  /** Reads what is watched; throws StoreError. */
+  /** Reads the watched collections; throws StoreError. */
   poll(): Promise<void>;
 }
 
-/** Shard of every collection that is followed so. */
+/** Shard of every polled collection. */
 export const POLLED_SHARD = '0';
 
-/** Starts without reading. */
+/** Creates a watch; nothing is read before the first `poll`. */
 export function createPolledWatch(table: TableStore): PolledWatch {
   const listeners = new Map<string, CollectionListener>();
-  const seen = new Map<string, string>();
+  const lastVersions = new Map<string, string>();
 
-  async function pollOne(collection: string, listener: CollectionListener) {
+  async function pollCollection(
+    collection: string,
+    listener: CollectionListener,
+  ) {
     const rows = await table.query(buildPartition(collection, POLLED_SHARD));
     const version = rows.map(formatVersion).join();
-    if (seen.get(collection) === version) return;
-    seen.set(collection, version);
+    if (lastVersions.get(collection) === version) return;
+    lastVersions.set(collection, version);
     listener.reset(rows);
   }
 
@@ -38,7 +41,7 @@
     },
     async poll() {
       for (const [collection, listener] of listeners) {
-        await pollOne(collection, listener);
+        await pollCollection(collection, listener);
       }
     },
   };
--- a/src/stores/retrier.test.ts
+++ b/src/stores/retrier.test.ts
@@ -5,7 +5,7 @@
 import {createRetrier, type AttemptOutcome} from './retrier.js';
 import {StoreFailure} from './store_failure.js';
 
-/** Many instances that each call the store at a fixed period. */
+/** Simulates instances that each call the store at a fixed period. */
 function createFleet(instances: number, periodMs: number) {
   const clock = createVirtualClock();
   const store = {up: true, callsBySecond: new Map<number, number>()};
@@ -35,7 +35,7 @@
   return {
     clock,
     store,
-    /** The most calls in any second of the range. */
+    /** The maximum number of calls in any second of the range. */
     countPeak(fromS: number, toS: number): number {
       let peak = 0;
       for (let second = fromS; second < toS; second++) {
@@ -47,7 +47,7 @@
 }
 
 describe('retrier', () => {
-  function createTried(failures: number, retryable = true) {
+  function createFixture(failures: number, retryable = true) {
     const clock = createVirtualClock();
     const outcomes: AttemptOutcome[] = [];
     const retrier = createRetrier({
@@ -63,16 +63,16 @@
     return {clock, outcomes, retrier, attempt};
   }
 
-  it('tries again what may succeed', async () => {
-    const {clock, outcomes, retrier, attempt} = createTried(1);
+  it('retries a failure that may succeed', async () => {
+    const {clock, outcomes, retrier, attempt} = createFixture(1);
     const result = retrier.run(attempt);
     await clock.advanceAsync(1000);
     assert.equal(await result, 'answer');
     assert.deepEqual(outcomes, ['failed', 'retried', 'answered']);
   });
 
-  it('gives up after its tries, and at once on a refusal', async () => {
-    const failing = createTried(Infinity);
+  it('gives up after MAX_ATTEMPTS, and immediately on a refusal', async () => {
+    const failing = createFixture(Infinity);
     const result = assert.rejects(failing.retrier.run(failing.attempt));
     await failing.clock.advanceAsync(10_000);
     await result;
@@ -80,17 +80,16 @@
       failing.outcomes.filter(outcome => outcome === 'failed').length,
       MAX_ATTEMPTS,
     );
-    const refused = createTried(Infinity, false);
+    const refused = createFixture(Infinity, false);
     await assert.rejects(refused.retrier.run(refused.attempt));
     assert.deepEqual(refused.outcomes, ['refused']);
   });
 
-  it('asks less, not more, of a store that is out and returns', async () => {
-    // Callers would see an outage of a minute last much longer: 120 instances
-    // poll once a second; the store goes out, and without budget, probes and
-    // jitter each poll becomes three calls, all through the outage and at its
-    // end. Measured here: calls in the worst second against that of a
-    // healthy one.
+  it('sends fewer calls to a store during and after its outage', async () => {
+    // 120 instances poll once a second while the store goes down for a minute.
+    // Without budget, probes and jitter each poll would become 3 calls during
+    // and after the outage, and the overload would prolong it. The test
+    // compares the calls in the worst second with those of a healthy store.
     const fleet = createFleet(120, 1000);
     await fleet.clock.advanceAsync(20_000);
     const healthy = fleet.countPeak(2, 20);
--- a/src/stores/retrier.ts
+++ b/src/stores/retrier.ts
@@ -1,19 +1,18 @@
 /**
- * Tries calls to one service again, within a budget.
+ * Retries calls to one service within a budget.
  *
- * Failure it answers: the store is out, every instance tries every call again
- * and again, and when it returns it meets many times its usual load and goes
- * out once more. Symptom: an outage of a minute lasts an hour. Three measures
- * together are enough: waits are drawn at random, so that instances do not ask
- * in step; retries are paid from a budget that only answered calls refill; and
- * after a few failures in a row calls fail at once but for a probe now and
- * then. docs/design/platform.md has the measurement.
+ * During an outage of the store, every instance retries every call, so the
+ * store recovers under many times its usual load and fails again: an outage of
+ * a minute lasts an hour. Three measures prevent this. Backoff has jitter, so
+ * that instances do not retry in step. Retries are paid from a budget that only
+ * successful calls refill. After several consecutive failures, calls fail
+ * immediately, except for occasional probes.
  */
 import {waitFor, type Clock} from '../common/clock.js';
 import {
   MAX_ATTEMPTS,
   OUTAGE_AFTER_FAILURES,
-  PROBE_FIRST_MS,
+  PROBE_BASE_MS,
   PROBE_MAX_MS,
   RETRY_BASE_MS,
   RETRY_BUDGET_MAX,
@@ -22,56 +21,62 @@
 } from './constants.js';
 import {isRetryable, StoreFailure} from './store_failure.js';
 
-/** Told of each try, for metrics. */
+/** Receives the outcome of each attempt, for metrics. */
 export type AttemptListener = (outcome: AttemptOutcome) => void;
 
-/** How a try ended; `withheld`: not made, because the service is out. */
+/**
+ * Outcome of an attempt. `refused`: the error is not retryable. `withheld`: not
+ * sent, because the service is unavailable. `retried`: a retry follows.
+ */
 export type AttemptOutcome =
   'answered' | 'refused' | 'failed' | 'withheld' | 'retried';
 
 /** Runs calls to one service. */
 export interface Retrier {
   /**
-   * Runs `attempt` until it ends otherwise than by a retryable failure, at most
-   * `maxAttempts` times.
+   * Runs `attempt` until it succeeds or fails with an error that is not
+   * retryable, at most `maxAttempts` times.
    */
   run<Result>(
     attempt: () => Promise<Result>,
     maxAttempts?: number,
   ): Promise<Result>;
   /**
-   * Runs `attempt` once, also while the service counts as out; its answer ends
-   * that for all calls. For the one caller that looks whether it is back.
+   * Runs `attempt` once even if the service counts as unavailable; a success
+   * makes it available to all calls. Meant for the one caller that detects
+   * recovery.
    */
   probe<Result>(attempt: () => Promise<Result>): Promise<Result>;
-  /** Whether the service counts as out. */
-  isOut(): boolean;
+  /** Whether the service counts as unavailable. */
+  isUnavailable(): boolean;
 }
 
-/** What a retrier works with. `random` draws from 0 to 1. */
+/** Dependencies of a retrier. `random` returns a number from 0 to 1. */
 export interface RetrierDependencies {
   clock: Clock;
   random: () => number;
   listener: AttemptListener;
 }
 
-/** Starts with a full budget and trust in the service. */
+/**
+ * Creates a retrier with a full budget, for a service that counts as available.
+ */
 export function createRetrier({
   clock,
   random,
   listener,
 }: RetrierDependencies): Retrier {
   let budget = RETRY_BUDGET_MAX;
-  let failuresInRow = 0;
-  let probeWaitMs = PROBE_FIRST_MS;
+  let consecutiveFailures = 0;
+  let probeWaitMs = PROBE_BASE_MS;
   let nextProbeAt = -Infinity;
 
-  function isOut(): boolean {
-    return failuresInRow >= OUTAGE_AFTER_FAILURES;
+  function isUnavailable(): boolean {
+    return consecutiveFailures >= OUTAGE_AFTER_FAILURES;
   }
 
-  function checkMayAsk() {
-    if (!isOut()) return;
+  function checkMaySend() {
+    if (!isUnavailable()) return;
     if (clock.now() >= nextProbeAt) {
       nextProbeAt = clock.now() + random() * probeWaitMs;
       probeWaitMs = Math.min(PROBE_MAX_MS, 2 * probeWaitMs);
@@ -84,15 +89,15 @@
     });
   }
 
-  function noteAnswer() {
-    failuresInRow = 0;
-    probeWaitMs = PROBE_FIRST_MS;
+  function noteSuccess() {
+    consecutiveFailures = 0;
+    probeWaitMs = PROBE_BASE_MS;
     budget = Math.min(RETRY_BUDGET_MAX, budget + RETRY_BUDGET_PER_SUCCESS);
   }
 
   function noteFailure() {
-    failuresInRow++;
-    if (failuresInRow !== OUTAGE_AFTER_FAILURES) return;
+    consecutiveFailures++;
+    if (consecutiveFailures !== OUTAGE_AFTER_FAILURES) return;
     nextProbeAt = clock.now() + random() * probeWaitMs;
   }
 
@@ -101,31 +106,31 @@
   ): Promise<Result> {
     try {
       const result = await attempt();
-      noteAnswer();
+      noteSuccess();
       listener('answered');
       return result;
     } catch (error) {
       if (isRetryable(error)) noteFailure();
-      else noteAnswer();
+      else noteSuccess();
       listener(isRetryable(error) ? 'failed' : 'refused');
       throw error;
     }
   }
 
   function takeRetry(attempts: number, maxAttempts: number): boolean {
-    if (attempts >= maxAttempts || budget < 1 || isOut()) return false;
+    if (attempts >= maxAttempts || budget < 1 || isUnavailable()) return false;
     budget--;
     listener('retried');
     return true;
   }
 
   return {
-    isOut,
+    isUnavailable,
     probe: runAttempt,
     async run(attempt, maxAttempts = MAX_ATTEMPTS) {
       for (let attempts = 1; ; attempts++) {
         try {
-          checkMayAsk();
+          checkMaySend();
           return await runAttempt(attempt);
         } catch (error) {
           if (!isRetryable(error) || !takeRetry(attempts, maxAttempts)) {
@@ -139,7 +144,7 @@
   };
 }
 
-/** From half of `waitMs` to all of it. */
+/** Draws a wait between half of `waitMs` and `waitMs`. */
 function drawWait(waitMs: number, random: () => number): number {
   return (waitMs / 2) * (1 + random());
 }
--- a/src/stores/s3_codec.ts
+++ b/src/stores/s3_codec.ts
@@ -1,4 +1,4 @@
-/** Names, errors and XML bodies of the S3 protocol. */
+/** Encodes and decodes names, errors and XML bodies of the S3 protocol. */
 import {XMLBuilder, XMLParser} from 'fast-xml-parser';
 import * as z from 'zod';
 import type {StoreResponse} from './http_transport.js';
@@ -29,16 +29,16 @@
   Error: z.object({Code: z.string(), Message: z.string().default('')}),
 });
 
-/** A wrong setting, not an absent object. */
+/** Error code of a wrong bucket setting; unlike an absent object, a failure. */
 const BUCKET_ABSENT = 'NoSuchBucket';
 
-/** One part of an upload, as the service named it. */
+/** One uploaded part with the ETag that the service returned. */
 export interface UploadedPart {
   number: number;
   etag: string;
 }
 
-/** Address of an object, in path style. */
+/** Builds the URL of an object in path style. */
 export function buildObjectUrl(
   base: string,
   bucket: string,
@@ -48,7 +48,9 @@
   return `${base.replace(/\/$/, '')}/${bucket}/${path}`;
 }
 
-/** Percent-encodes all but the characters that signatures leave as they are. */
+/**
+ * Percent-encodes all characters except those that signatures leave unencoded.
+ */
 export function encodeUrlPart(text: string): string {
   return encodeURIComponent(text).replace(
     /[!'()*]/g,
@@ -56,7 +58,7 @@
   );
 }
 
-/** Names in an answer to a list request with URL encoding. */
+/** Reads the names of a list response with URL encoding. */
 export function readListAnswer(response: StoreResponse): string[] {
   const answer = parseXml(response, listAnswerSchema);
   return answer.ListBucketResult.Contents.map(({Key}) =>
@@ -64,29 +66,31 @@
   );
 }
 
-/** Id of the upload that was opened. */
+/** Reads the id of an opened upload. */
 export function readOpenAnswer(response: StoreResponse): string {
   return parseXml(response, openAnswerSchema).InitiateMultipartUploadResult
     .UploadId;
 }
 
-/** Checks that an upload completed: a 200 may still carry an error. */
+/**
+ * Checks that an upload completed: a 200 response may still contain an error.
+ */
 export function checkCompleteAnswer(response: StoreResponse): void {
   parseXml(response, completeAnswerSchema);
 }
 
-/** Body that completes an upload. */
+/** Encodes the request body that completes an upload. */
 export function encodeCompletion(parts: readonly UploadedPart[]): string {
   const list = parts.map(part => ({PartNumber: part.number, ETag: part.etag}));
   return builder.build({CompleteMultipartUpload: {Part: list}}) as string;
 }
 
-/** The object is not there. */
+/** Whether the response means that the object does not exist. */
 export function isAbsent(response: StoreResponse): boolean {
   return response.status === 404;
 }
 
-/** Throws StoreFailure for an answer that is none of `expected`. */
+/** Throws StoreFailure if the status is not one of `expected`. */
 export function checkStatus(
   response: StoreResponse,
   expected: readonly number[],
@@ -94,14 +98,14 @@
   const {status} = response;
   const code = status >= 300 ? findErrorCode(response) : '';
   if (expected.includes(status) && code !== BUCKET_ABSENT) return;
-  const busy = code === 'SlowDown' || status === 429;
+  const isBusy = code === 'SlowDown' || status === 429;
   throw new StoreFailure(`the object store answered ${status} ${code}`, {
-    effect: status >= 500 && !busy ? 'unknown' : 'none',
-    retryable: status >= 500 || busy || status === 408,
+    effect: status >= 500 && !isBusy ? 'unknown' : 'none',
+    retryable: status >= 500 || isBusy || status === 408,
   });
 }
 
-/** The error code in an answer; empty when it has none. */
+/** Returns the error code of a response; empty if it has none. */
 export function findErrorCode(response: StoreResponse): string {
   try {
     const text = response.body.toString('utf8');
--- a/src/stores/s3_objects.ts
+++ b/src/stores/s3_objects.ts
@@ -1,4 +1,4 @@
-/** The object store over the S3 protocol. */
+/** Client of the object store over the S3 protocol. */
 import {LIST_LIMIT, STREAM_PIECE_BYTES} from './constants.js';
 import type {
   HttpTransport,
@@ -24,7 +24,7 @@
 const PRECONDITION_FAILED = 412;
 const RANGE_NOT_SATISFIABLE = 416;
 
-/** What the adapter works with. */
+/** Dependencies of the adapter. */
 export interface S3ObjectsDependencies {
   url: string;
   bucket: string;
@@ -33,13 +33,13 @@
   retrier: Retrier;
 }
 
-/** One call to the object store, tried again within the budget. */
+/** Sends one request to the object store, with retries within the budget. */
 export type S3Call = (
   request: Partial<StoreRequest> & Pick<StoreRequest, 'method' | 'url'>,
   expected: readonly number[],
 ) => Promise<StoreResponse>;
 
-/** Speaks to one bucket. */
+/** Creates the client of one bucket. */
 export function createS3Objects(
   dependencies: S3ObjectsDependencies,
 ): ObjectStore {
@@ -55,7 +55,9 @@
 
   const buildUrl = (name: string) => buildObjectUrl(base, bucket, name);
 
-  /** `etag` pins the object, lest another under the same name be mixed in. */
+  /**
+   * `etag` pins the version, so that pieces of a replaced object are not mixed.
+   */
   function fetchRange(name: string, range: ByteRange, etag?: string) {
     const bytes = `bytes=${range.start}-${range.end - 1}`;
     const headers = {range: bytes, ...(etag && {'if-match': etag})};
@@ -91,8 +93,8 @@
   }
 
   /**
-   * Pieces are separate requests: a consumer that takes its time holds no
-   * connection open, and a piece that breaks off is asked for again alone.
+   * Reads each piece with a separate request, so that a slow consumer keeps no
+   * connection open and only a failed piece is retried.
    */
   async function* streamPieces(
     name: string,
@@ -128,7 +130,7 @@
       const piece = computePiece(range, 0);
       if (piece.end <= piece.start) {
         const body = await fetchPart(name, piece);
-        return body && streamNothing();
+        return body && streamEmpty();
       }
       const first = await fetchRange(name, piece);
       return isAbsent(first) ? undefined : streamPieces(name, first, range);
@@ -158,11 +160,14 @@
   return {start, end: Math.min(range.end, start + STREAM_PIECE_BYTES)};
 }
 
-/** Bytes of the range; a server may ignore it and send the whole object. */
+/**
+ * Returns the bytes of the range; a server may ignore the range and send the
+ * complete object.
+ */
 function readRange(response: StoreResponse, range: ByteRange): Buffer {
   if (response.status === RANGE_NOT_SATISFIABLE) return Buffer.alloc(0);
   if (response.status === PARTIAL) return response.body;
   return response.body.subarray(range.start, range.end);
 }
 
-async function* streamNothing(): AsyncIterable<Buffer> {}
+async function* streamEmpty(): AsyncIterable<Buffer> {}
--- a/src/stores/s3_upload.ts
+++ b/src/stores/s3_upload.ts
@@ -1,7 +1,7 @@
 /**
- * An object written piece by piece: pieces gather to a part of the size that
- * S3 asks for, and a part is sent before the next piece is taken. What fits
- * one part becomes a plain put.
+ * Writes an object in pieces. Pieces are buffered up to the part size that S3
+ * requires, and a part is sent before the next piece is accepted. An object
+ * that fits into one part is written with a plain put.
  */
 import {UPLOAD_PART_BYTES} from './constants.js';
 import type {ObjectUpload} from './object_store.js';
@@ -17,18 +17,18 @@
 
 const OK = 200;
 
-/** `url` is the object's address. */
+/** `url` is that of the object. */
 export function createS3Upload(call: S3Call, url: string): ObjectUpload {
   let pieces: Uint8Array[] = [];
-  let heldBytes = 0;
+  let pendingBytes = 0;
   let sentBytes = 0;
   let uploadId: string | undefined;
   let state: 'open' | 'failed' | 'ended' = 'open';
   const parts: UploadedPart[] = [];
 
   /**
-   * After a failure a piece may be missing: going on would complete an object
-   * with a hole, so all that is left is to cancel.
+   * Runs one step. After a failure a piece may be missing, and continuing would
+   * complete an object with a gap, so only `cancel` is allowed then.
    */
   async function runStep(step: () => Promise<void>) {
     if (state !== 'open') {
@@ -45,10 +45,10 @@
     }
   }
 
-  function takeHeld(): Buffer {
+  function takePending(): Buffer {
     const body = Buffer.concat(pieces);
     pieces = [];
-    heldBytes = 0;
+    pendingBytes = 0;
     return body;
   }
 
@@ -57,7 +57,7 @@
     return readOpenAnswer(answer);
   }
 
-  /** Sending a part again under its number replaces it. */
+  /** Sends a part; sending it again under the same number replaces it. */
   async function sendPart(body: Buffer) {
     uploadId ??= await openUpload();
     const number = parts.length + 1;
@@ -70,8 +70,8 @@
   }
 
   /**
-   * An upload that is gone may have completed with its answer lost: then the
-   * whole object is there.
+   * Throws unless the complete object exists: an upload that no longer exists
+   * may have been completed by a request whose response was lost.
    */
   async function checkCompleted() {
     const head = await call({method: 'HEAD', url}, [OK, 404]);
@@ -94,12 +94,12 @@
   }
 
   async function finishObject() {
-    const rest = takeHeld();
+    const lastPart = takePending();
     if (uploadId === undefined) {
-      await call({method: 'PUT', url, body: rest}, [OK]);
+      await call({method: 'PUT', url, body: lastPart}, [OK]);
       return;
     }
-    if (rest.length > 0) await sendPart(rest);
+    if (lastPart.length > 0) await sendPart(lastPart);
     await finishUpload(uploadId);
   }
 
@@ -107,15 +107,15 @@
     append: piece =>
       runStep(async () => {
         pieces.push(piece);
-        heldBytes += piece.byteLength;
-        if (heldBytes >= UPLOAD_PART_BYTES) await sendPart(takeHeld());
+        pendingBytes += piece.byteLength;
+        if (pendingBytes >= UPLOAD_PART_BYTES) await sendPart(takePending());
       }),
     async complete() {
       await runStep(finishObject);
       state = 'ended';
     },
     async cancel() {
-      takeHeld();
+      takePending();
       const isOver = state === 'ended' || uploadId === undefined;
       state = 'ended';
       if (isOver) return;
--- a/src/stores/settled_transaction.ts
+++ b/src/stores/settled_transaction.ts
@@ -1,11 +1,11 @@
 /**
- * Transactions whose outcome is settled before it is told.
+ * Runs transactions and determines their outcome after lost responses.
  *
- * Failure it answers: the answer to a write is lost after the write took
- * effect. Symptom without it: the next try meets its own write, reports a
- * conflict, and the caller believes that somebody else won. Every row carries
- * the id of the write that put it last, so one read tells the two apart; what
- * even that cannot tell is reported as unclear, never as a refusal.
+ * The response to a write may be lost after the write took effect. The retry
+ * then conflicts with its own write, and the caller would believe that another
+ * writer was first. Every row contains the id of its last write, so one read
+ * distinguishes the two cases. An outcome that the read cannot determine is
+ * reported as unknown, never as a refusal.
  */
 import {generateId} from '../common/ids.js';
 import type {Retrier} from './retrier.js';
@@ -19,7 +19,9 @@
   type WriteOperation,
 } from './table_store.js';
 
-/** One service's way to read a row and to try a transaction once. */
+/**
+ * Reads a row, and sends a transaction once, with the protocol of one service.
+ */
 export interface TransactionSender {
   fetchRow(key: RowKey): Promise<Row | undefined>;
   sendTransaction(
@@ -28,14 +30,18 @@
   ): Promise<TransactionOutcome>;
 }
 
-/** Tries within the retrier's budget; throws StoreError when none is settled. */
+/**
+ * Creates a `transact` with retries; it throws StoreError if the outcome cannot
+ * be determined.
+ */
 export function createSettledTransact(
   retrier: Retrier,
   sender: TransactionSender,
 ): TableStore['transact'] {
   /**
-   * Settles a transaction whose answer did not come. Rows it put carry its
-   * write id; a row at a later version may hide it, which stays unclear.
+   * Determines the outcome of a transaction without a response. Rows it put
+   * contain its write id. A row at a later version may hide the write, which
+   * leaves the outcome unknown.
    */
   async function findUnclearOutcome(
     operations: readonly WriteOperation[],
@@ -50,7 +56,7 @@
     return row.version <= version ? 'not-seen' : 'hidden';
   }
 
-  /** One try; `unclear` tells that an earlier one may have taken effect. */
+  /** Makes one attempt. `unclear`: an earlier attempt may have taken effect. */
   async function transactOnce(
     operations: readonly WriteOperation[],
     writeId: string,
@@ -86,7 +92,8 @@
       });
     } catch (error) {
       if (!unclear || isUnclear(error)) throw error;
-      // A later try failed cleanly; the earlier one is still unclear.
+      // A later attempt failed without effect; the earlier one is still
+      // unclear.
       throw new StoreFailure((error as Error).message, {
         effect: 'unknown',
         retryable: false,
--- a/src/stores/signer.ts
+++ b/src/stores/signer.ts
@@ -1,9 +1,9 @@
-/** Signs requests to the platform (AWS signature, version 4). */
+/** Signs requests to the platform (AWS Signature Version 4). */
 import {AwsV4Signer} from 'aws4fetch';
 import {hashText} from '../common/ids.js';
 import type {StoreRequest} from './http_transport.js';
 
-/** Who signs, and for which region. */
+/** The access key, and the region it signs for. */
 export interface Credentials {
   accessKeyId: string;
   secretAccessKey: string;
@@ -13,7 +13,7 @@
 /** Signs a request for one service. */
 export type Signer = (request: StoreRequest) => Promise<StoreRequest>;
 
-/** `service` is the name that the signature is made for. */
+/** `service` is the service name in the signature. */
 export function createSigner(
   credentials: Credentials,
   service: 'dynamodb' | 's3',
--- a/src/stores/store_failure.ts
+++ b/src/stores/store_failure.ts
@@ -1,14 +1,14 @@
-/** How one try of a call to the platform failed. */
+/** Failures of single attempts of a call to the platform. */
 import {StoreError, type StoreEffect} from './table_store.js';
 
 interface FailureOptions {
   effect: StoreEffect;
-  /** Whether another try may succeed. */
+  /** Whether another attempt may succeed. */
   retryable: boolean;
   cause?: unknown;
 }
 
-/** One try failed. */
+/** Failure of one attempt. */
 export class StoreFailure extends StoreError {
   readonly retryable: boolean;
 
@@ -18,12 +18,12 @@
   }
 }
 
-/** Whether another try of the call may succeed. */
+/** Whether another attempt of the call may succeed. */
 export function isRetryable(error: unknown): boolean {
   return error instanceof StoreFailure && error.retryable;
 }
 
-/** Whether the failed try may have changed the store. */
+/** Whether the failed attempt may have changed the store. */
 export function isUnclear(error: unknown): boolean {
   return error instanceof StoreError && error.effect === 'unknown';
 }
--- a/src/stores/store_feeds.ts
+++ b/src/stores/store_feeds.ts
@@ -1,6 +1,7 @@
 /**
- * The feeds of one instance. Each is lost and regained by itself, and the sentinel,
- * which is asked most often, has the others asked again when that changes.
+ * The feeds of one instance. Each feed tracks for itself whether the store is
+ * reachable. The sentinel, which queries most often, wakes the other feeds
+ * when its own state changes.
  */
 import {
   startTableFeed,
@@ -11,46 +12,50 @@
   type TableFeed,
 } from './table_feed.js';
 
-/** Feeds by their tables. */
+/** Manages one feed per table. */
 export interface StoreFeeds {
-  /** Follows a table from now on; the returned function ends it. */
+  /** Starts to follow a table; the returned function stops it. */
   start<Row>(
     table: string,
     source: FeedSource<Row>,
     listener: FeedListener<Row>,
     options: FeedOptions,
   ): () => void;
-  /** Since when a feed has no answer; undefined if all have. */
+  /** Time since which any feed has no response; undefined if all have one. */
   getLostAt(): number | undefined;
   stop(): void;
 }
 
-/** Starts without feeds. */
 export function createStoreFeeds(dependencies: FeedDependencies): StoreFeeds {
   const {clock} = dependencies;
   const feeds = new Map<string, TableFeed>();
-  const lostSince = new Map<string, number>();
+  const unreachableSince = new Map<string, number>();
 
   /**
-   * Each feed by itself: an answer to one says nothing of what the others would
-   * tell. A dispatcher that took itself for served by another feed's answer
-   * granted slots of endpoints that had left.
+   * Tracks each feed separately: a response to one feed says nothing about the
+   * data of the others. When a response to any feed counted for all, a
+   * dispatcher granted slots of endpoints that had left.
    */
-  function noteReach(table: string, {role}: FeedOptions, isReached: boolean) {
-    const isNews = lostSince.has(table) === isReached;
-    if (!isNews) return;
-    if (isReached) lostSince.delete(table);
-    else lostSince.set(table, clock.now());
-    if (role === 'sentinel') askOthersAgain(table);
+  function noteReachability(
+    table: string,
+    {role}: FeedOptions,
+    isReachable: boolean,
+  ) {
+    const hasChanged = unreachableSince.has(table) === isReachable;
+    if (!hasChanged) return;
+    if (isReachable) unreachableSince.delete(table);
+    else unreachableSince.set(table, clock.now());
+    if (role === 'sentinel') wakeOtherFeeds(table);
   }
 
   /**
-   * What silenced the sentinel's connection may have silenced theirs, and what
-   * they wait for since before the store came back will not come.
+   * Makes the other feeds query again. A fault that made the sentinel's
+   * connection silent may affect theirs, and calls sent before the store
+   * recovered get no response.
    */
-  function askOthersAgain(sentinel: string) {
+  function wakeOtherFeeds(sentinel: string) {
     for (const [table, feed] of feeds) {
-      if (table !== sentinel) feed.askAgain();
+      if (table !== sentinel) feed.wake();
     }
   }
 
@@ -62,7 +67,8 @@
         source,
         {
           ...listener,
-          noteReach: isReached => noteReach(table, options, isReached),
+          noteReachability: isReachable =>
+            noteReachability(table, options, isReachable),
         },
         options,
       );
@@ -70,11 +76,13 @@
       return () => {
         feed.stop();
         feeds.delete(table);
-        lostSince.delete(table);
+        unreachableSince.delete(table);
       };
     },
     getLostAt: () =>
-      lostSince.size > 0 ? Math.min(...lostSince.values()) : undefined,
+      unreachableSince.size > 0
+        ? Math.min(...unreachableSince.values())
+        : undefined,
     stop() {
       for (const feed of feeds.values()) feed.stop();
     },
--- a/src/stores/table_feed.test.ts
+++ b/src/stores/table_feed.test.ts
@@ -1,4 +1,6 @@
-/** Feeds on virtual time, against a store that holds calls and goes silent. */
+/**
+ * Feeds on virtual time, with a fake store that holds calls and may go silent.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createSilentLog} from '../common/log.js';
@@ -14,17 +16,19 @@
   version: number;
 }
 
-/** A fake store on virtual time; a silent one answers no call at all. */
-function createHeldStore() {
+/** Fakes a store on virtual time; a silent one responds to no call at all. */
+function createFakeStore() {
   const clock = createVirtualClock();
   const rows: TestRow[] = [];
   const state = {isSilent: false, version: 1};
   const calls: {table: string; at: number}[] = [];
   const waiting = new Set<() => void>();
 
-  function findNews(table: string, after: number): FeedAnswer<TestRow> {
-    const news = rows.filter(row => row.table === table && row.version > after);
-    return {kind: 'rows', rows: news, version: state.version};
+  function findChanges(table: string, after: number): FeedAnswer<TestRow> {
+    const changed = rows.filter(
+      row => row.table === table && row.version > after,
+    );
+    return {kind: 'rows', rows: changed, version: state.version};
   }
 
   function awaitChanges(
@@ -38,14 +42,14 @@
       signal.addEventListener('abort', fail);
       clock.schedule(timeoutMs, fail);
       const answer = () => {
-        if (!wasSilent && !state.isSilent) resolve(findNews(table, after));
+        if (!wasSilent && !state.isSilent) resolve(findChanges(table, after));
       };
-      const answerNews = () => {
-        const news = findNews(table, after);
-        if (news.kind === 'rows' && news.rows.length > 0) answer();
+      const answerIfChanged = () => {
+        const answered = findChanges(table, after);
+        if (answered.kind === 'rows' && answered.rows.length > 0) answer();
       };
-      waiting.add(answerNews);
-      answerNews();
+      waiting.add(answerIfChanged);
+      answerIfChanged();
       clock.schedule(holdMs, answer);
     });
   }
@@ -89,17 +93,17 @@
   };
 }
 
-function followAll(store: ReturnType<typeof createHeldStore>) {
+function followAll(store: ReturnType<typeof createFakeStore>) {
   store.follow('op', 'sentinel');
   store.follow('servers', 'bounded');
   store.follow('instances', 'own', 500);
 }
 
 describe('the feeds of an instance', () => {
-  // Guards against an idle fleet whose calls to the store grow beyond what its
-  // work needs: each instance asked four times a second for nothing.
-  it('ask at most twice a second while nothing changes', async () => {
-    const store = createHeldStore();
+  // Guards against needless load on the store from an idle fleet: each instance
+  // used to query it 4 times a second although nothing changed.
+  it('query at most twice a second while nothing changes', async () => {
+    const store = createFakeStore();
     followAll(store);
     await store.clock.advanceAsync(2000);
     const before = store.calls.length;
@@ -107,9 +111,10 @@
     assert.ok(store.calls.length - before <= 2 * 20);
   });
 
-  // Guards against a change that stays unknown behind a connection gone silent.
-  it('notice a change within its bound though all connections are silent', async () => {
-    const store = createHeldStore();
+  // Guards against a change that goes unnoticed because a connection went
+  // silent without a reset.
+  it('notice a change within its bound after all connections went silent', async () => {
+    const store = createFakeStore();
     followAll(store);
     await store.clock.advanceAsync(3000);
     store.state.isSilent = true;
@@ -118,15 +123,16 @@
     const changedAt = store.clock.now();
     store.writeRow('servers');
     await store.clock.advanceAsync(BOUND_MS);
-    const news = store.seen.find(({table}) => table === 'servers');
-    assert.ok(news && news.at - changedAt <= BOUND_MS);
+    const notified = store.seen.find(({table}) => table === 'servers');
+    assert.ok(notified && notified.at - changedAt <= BOUND_MS);
   });
 
-  describe('when the store was away', () => {
-    // Guards against an instance that takes the store for lost seconds after it
-    // is back: its call hung on, and the next was put off by earlier failures.
-    it('are answered within a second and a half of its return', async () => {
-      const store = createHeldStore();
+  describe('after an outage of the store', () => {
+    // Guards against an instance that considers the store lost for seconds
+    // after its recovery: its call stayed open, and earlier failures delayed
+    // the next.
+    it('get a response within 1.5 s of its recovery', async () => {
+      const store = createFakeStore();
       followAll(store);
       await store.clock.advanceAsync(3000);
       for (const awayMs of [5000, 5300, 5700, 6100, 7500]) {
@@ -141,10 +147,11 @@
     });
   });
 
-  // Guards against a fleet that starts at once and has each instance told of
-  // each other's row by an answer of its own: the square of its size in calls.
-  it('are told of many writes by few answers', async () => {
-    const store = createHeldStore();
+  // Guards against calls that grow with the square of the fleet's size: when
+  // all instances start together, each would get every other instance's row in
+  // a separate response.
+  it('receive many writes in few responses', async () => {
+    const store = createFakeStore();
     store.follow('instances', 'own', 500);
     await store.clock.advanceAsync(100);
     for (let index = 0; index < 195; index++) {
@@ -152,8 +159,8 @@
       await store.clock.advanceAsync(5);
     }
     await store.clock.advanceAsync(1000);
-    const told = store.seen.reduce((sum, {rows}) => sum + rows, 0);
-    assert.equal(told, 195);
+    const notified = store.seen.reduce((sum, {rows}) => sum + rows, 0);
+    assert.equal(notified, 195);
     assert.ok(store.calls.length <= 6);
   });
 });
--- a/src/stores/table_feed.ts
+++ b/src/stores/table_feed.ts
@@ -1,7 +1,7 @@
 /**
- * Follows one table of the platform's store: all rows once, then each change.
- * After a failure it goes on where it was; when the store no longer keeps what
- * came since, it reads all rows anew.
+ * Follows one table of the platform's store: reads all rows once, then each
+ * change. After a failure it continues from the last version; if the store no
+ * longer retains the changes since then, it reads all rows again.
  */
 import {waitFor, type Clock} from '../common/clock.js';
 import type {Log} from '../common/log.js';
@@ -13,67 +13,76 @@
 } from '../decisions/feed_pace.js';
 import {StoreError} from './table_store.js';
 
-/** Which changes to wait for, and how long. */
+/** Describes which changes to wait for, and how long. */
 export interface FeedQuery {
-  /** Version after which changes count. */
+  /** Version after which changes are returned. */
   after: number;
-  /** How long the store may hold the call while nothing changes, in ms. */
+  /** How long the store holds the call while nothing changes, in ms. */
   holdMs: number;
-  /** After how long without an answer the call has failed, in ms. */
+  /** Timeout of the call, in ms. */
   timeoutMs: number;
-  /** Ends the wait. */
+  /** Aborts the call. */
   signal: AbortSignal;
-  /** Whether to ask although the store counts as out, to see whether it is back. */
+  /**
+   * Whether to send the call even if the store counts as unavailable, to detect
+   * its recovery.
+   */
   isProbe: boolean;
 }
 
-/** Changes after a version, or word that they are no longer kept. */
+/**
+ * The changes after a version; `history-gone` if the store no longer retains
+ * them.
+ */
 export type FeedAnswer<Row> =
   {kind: 'rows'; rows: Row[]; version: number} | {kind: 'history-gone'};
 
-/** A table as it is asked for. Both methods throw StoreError. */
+/** Source of a table's rows. Both methods throw StoreError. */
 export interface FeedSource<Row> {
   fetchAll(): Promise<{rows: Row[]; version: number}>;
-  /** Waits for changes. One try. */
+  /** Waits for changes in one attempt. */
   awaitChanges(query: FeedQuery): Promise<FeedAnswer<Row>>;
 }
 
-/** Told of a table's rows. */
+/** Receives a table's rows. */
 export interface FeedListener<Row> {
   reset(rows: readonly Row[]): void;
   change(rows: readonly Row[]): void;
-  /** The store answered (again), or gave no answer. */
-  noteReach?(isReached: boolean): void;
+  /** Receives whether the store responded to a call. */
+  noteReachability?(isReachable: boolean): void;
 }
 
-/** What a feed works with. */
+/** Dependencies of a feed. */
 export interface FeedDependencies {
   clock: Clock;
   log: Log;
-  /** Draws from 0 to 1. */
+  /** Returns a number from 0 to 1. */
   random: () => number;
 }
 
 /** How a table is followed. */
 export interface FeedOptions {
   role: FeedRole;
-  /** By when a change must be noticed, silent connections included, in ms. */
+  /**
+   * Time within which a change must be noticed, even on a silent connection, in
+   * ms.
+   */
   boundMs: number;
   /**
-   * Pause after a change, in ms: where many instances write to a table that all
-   * follow, each would otherwise be told of every single write.
+   * Pause after a change, in ms. If many instances write to a table that all
+   * follow, each would otherwise receive every write in a separate response.
    */
   pauseMs?: number;
 }
 
-/** A feed that goes on until it is stopped. */
+/** A feed that runs until it is stopped. */
 export interface TableFeed {
-  /** Drops what is waited for, and asks at once. */
-  askAgain(): void;
+  /** Aborts the current call or pause and queries the store immediately. */
+  wake(): void;
   stop(): void;
 }
 
-/** Starts at once. `table` names it in logs. */
+/** Starts immediately. `table` is its name in logs. */
 export function startTableFeed<Row>(
   {clock, log, random}: FeedDependencies,
   table: string,
@@ -84,29 +93,32 @@
   const holdMs = computeHold(role, boundMs);
   let version: number | undefined;
   let isStopped = false;
-  let isReached: boolean | undefined;
-  let lostAt = 0;
+  let isReachable: boolean | undefined;
+  let lostSince = 0;
   let wasReadAnew = false;
-  /** Ends the present wait, for an answer or before the next call. */
+  /** Aborts the current call or the pause before the next one. */
   let wait = new AbortController();
 
-  function noteReach(reached: boolean, error?: unknown) {
-    const wasReached = isReached;
-    isReached = reached;
-    listener.noteReach?.(reached);
-    if (reached === wasReached) return;
-    if (!reached) {
-      lostAt = clock.now();
-      log.info({table, err: String(error)}, 'store feed lost');
-    } else if (wasReached !== undefined) {
-      const lostMs = Math.round(clock.now() - lostAt);
-      log.info({table, lostMs, wasReadAnew}, 'store feed regained');
+  function noteReachability(reachable: boolean, error?: unknown) {
+    const wasReachable = isReachable;
+    isReachable = reachable;
+    listener.noteReachability?.(reachable);
+    if (reachable === wasReachable) return;
+    if (!reachable) {
+      lostSince = clock.now();
+      log.info({table, err: String(error)}, 'store feed lost; retrying');
+    } else if (wasReachable !== undefined) {
+      const lostMs = Math.round(clock.now() - lostSince);
+      log.info({table, lostMs, wasReadAnew}, 'store feed recovered');
     }
   }
 
-  /** While the store is lost it is not to hold the call that finds it back. */
-  function askForChanges(after: number) {
-    const isLost = isReached === false;
+  /**
+   * While the store is unreachable, it must not hold the call that detects its
+   * recovery.
+   */
+  function fetchChanges(after: number) {
+    const isLost = isReachable === false;
     const heldMs = isLost ? 0 : holdMs;
     return source.awaitChanges({
       after,
@@ -122,30 +134,30 @@
     if (isStopped) return;
     listener.reset(all.rows);
     version = all.version;
-    noteReach(true);
+    noteReachability(true);
   }
 
   async function followOnce(after: number) {
-    const news = await askForChanges(after);
+    const answer = await fetchChanges(after);
     if (isStopped) return;
-    if (news.kind === 'history-gone') {
+    if (answer.kind === 'history-gone') {
       version = undefined;
       return;
     }
-    version = Math.max(after, news.version);
-    const hasChanged = news.rows.length > 0;
-    if (hasChanged) listener.change(news.rows);
-    noteReach(true);
-    if (hasChanged && pauseMs > 0) await waitUnlessWoken(pauseMs);
+    version = Math.max(after, answer.version);
+    const hasChanged = answer.rows.length > 0;
+    if (hasChanged) listener.change(answer.rows);
+    noteReachability(true);
+    if (hasChanged && pauseMs > 0) await waitUnlessAborted(pauseMs);
   }
 
-  /** Ends early when it is to ask at once. */
-  async function waitUnlessWoken(ms: number) {
+  /** Waits, but returns early when the feed is woken or stopped. */
+  async function waitUnlessAborted(ms: number) {
     const {signal} = wait;
-    const woken = new Promise<void>(resolve =>
+    const onAbort = new Promise<void>(resolve =>
       signal.addEventListener('abort', () => resolve(), {once: true}),
     );
-    await Promise.race([waitFor(clock, ms), woken]);
+    await Promise.race([waitFor(clock, ms), onAbort]);
   }
 
   async function follow() {
@@ -158,18 +170,21 @@
       } catch (error) {
         if (isStopped) return;
         if (wait.signal.aborted) continue;
-        noteReach(false, error);
+        noteReachability(false, error);
         if (!(error instanceof StoreError)) {
-          log.error({table, err: error}, 'store feed failed and goes on');
+          log.error(
+            {table, err: error},
+            'store feed failed unexpectedly; retrying',
+          );
         }
-        await waitUnlessWoken(computeRetryPause(role, random()));
+        await waitUnlessAborted(computeRetryPause(role, random()));
       }
     }
   }
 
   void follow();
   return {
-    askAgain: () => wait.abort(),
+    wake: () => wait.abort(),
     stop() {
       isStopped = true;
       wait.abort();
--- a/src/stores/table_store.ts
+++ b/src/stores/table_store.ts
@@ -1,38 +1,37 @@
 /**
- * The platform's transactional table service, as narrow as the product needs
- * it: every write is conditional and carries a write id, so that a write whose
- * answer was lost can be recognised by reading it back.
+ * Interface of the platform's transactional table service, reduced to what this
+ * program needs. Every write is conditional and has a write id, so that a write
+ * whose response was lost can be recognised by reading the row.
  */
 
 /** A scalar of a row. Structured data is stored as JSON text. */
 export type FieldValue = string | number | boolean;
 
-/** Fields of a row. */
 export type Fields = Record<string, FieldValue>;
 
-/** Rows of one partition sort by `sort`. */
+/** Key of a row; rows of one partition are sorted by `sort`. */
 export interface RowKey {
   partition: string;
   sort: string;
 }
 
-/** A row as read. */
+/** A row as it was read. */
 export interface Row {
   key: RowKey;
-  /** 1 when first written, one more with each write. */
+  /** 1 after the first write, incremented by each further one. */
   version: number;
   /** Id of the transaction that wrote it last. */
   writeId: string;
   fields: Fields;
 }
 
-/** What must hold of a row for a transaction to commit. */
+/** Condition on a row under which a transaction commits. */
 export type Condition =
   | {kind: 'absent'}
   | {kind: 'version'; version: number}
   | {kind: 'fields'; equals: Fields};
 
-/** One step of a transaction. */
+/** One operation of a transaction. */
 export type WriteOperation =
   | {
       kind: 'put';
@@ -58,7 +57,7 @@
     ),
 };
 
-/** Whether a condition holds of a row. */
+/** Whether a row meets a condition. */
 export function isMet(condition: Condition, row: Row | undefined): boolean {
   const check = CONDITION_CHECKS[condition.kind] as (
     condition: Condition,
@@ -67,20 +66,22 @@
   return check(condition, row);
 }
 
-/** Version that a put gives its row. */
+/** Computes the version that a put gives its row. */
 export function computePutVersion({
   condition,
 }: Extract<WriteOperation, {kind: 'put'}>): number {
   return condition.kind === 'absent' ? 1 : condition.version + 1;
 }
 
-/** Outcome of a transaction; `index` is the operation whose condition failed. */
+/**
+ * Outcome of a transaction; `index` is the operation whose condition failed.
+ */
 export type TransactionOutcome =
   {kind: 'committed'; writeId: string} | {kind: 'conflict'; index: number};
 
 /** Which rows of a partition to read. */
 export interface QueryRange {
-  /** Only rows whose sort key starts so. */
+  /** Only rows whose sort key starts with this. */
   prefix?: string;
   /** Only rows that sort after this key. */
   after?: string;
@@ -88,20 +89,24 @@
   limit?: number;
 }
 
-/** At most this many operations in one transaction. */
+/** Maximum number of operations in one transaction. */
 export const MAX_TRANSACTION_OPERATIONS = 100;
 
-/** Longest row, in bytes. */
+/** Maximum size of a row, in bytes. */
 export const MAX_ROW_BYTES = 400 * 1024;
 
-/** The table service. All methods throw StoreError when it gives no answer. */
+/**
+ * The table service. All methods throw StoreError if it gives no usable
+ * response.
+ */
 export interface TableStore {
   get(key: RowKey): Promise<Row | undefined>;
   query(partition: string, range?: QueryRange): Promise<Row[]>;
   /**
-   * All operations or none. A put sets the row's version to 1 (absent) or one
-   * more than its condition's. After an unclear answer the implementation has
-   * read back by write id; what it throws then may still have taken effect.
+   * Commits all operations or none. A put sets the row's version to 1 (absent)
+   * or one more than its condition's. After a lost response the implementation
+   * looks for the write id in the rows; a transaction for which it then throws
+   * may still have taken effect.
    */
   transact(operations: readonly WriteOperation[]): Promise<TransactionOutcome>;
 }
@@ -109,7 +114,7 @@
 /** Whether a failed call may have changed the store. */
 export type StoreEffect = 'none' | 'unknown';
 
-/** The store gave no usable answer. */
+/** The store gave no usable response. */
 export class StoreError extends Error {
   readonly effect: StoreEffect;
 
