--- a/src/common/actor.ts
+++ b/src/common/actor.ts
@@ -1,15 +1,16 @@
 /**
- * Actors of the supervisor tree. An actor takes one message at a time, so its
- * state needs no locks; a crash in one is counted and leaves its siblings alone.
+ * Actors of the supervisor tree. An actor handles one message at a time, so its
+ * state needs no locks. A crash of one actor is reported and does not affect
+ * its siblings.
  */
 import nact from 'nact';
 import type {Ref} from 'nact';
 import type {Clock} from './clock.js';
 
-/** Reference to an actor that takes `Message`. */
+/** Reference to an actor that accepts `Message`. */
 export type ActorRef<Message> = Ref<Message>;
 
-/** One handler for each message type; new state is returned, not written. */
+/** One handler for each message type; it returns the new state. */
 export type HandlerTable<State, Message extends {type: string}> = {
   [Type in Message['type']]: (
     state: State,
@@ -17,7 +18,7 @@
   ) => State | Promise<State>;
 };
 
-/** Told of each crash before the actor goes on with its last good state. */
+/** Called on each crash, before the actor resumes with its last valid state. */
 export type CrashListener = (actorName: string, error: Error) => void;
 
 /** The root of a supervisor tree. */
@@ -33,12 +34,12 @@
   name: string,
   onCrash: CrashListener,
 ): ActorSystem {
-  // The library's types leave out the system's name, which its code takes.
+  // The library accepts a name for the system, but its types do not declare it.
   const root = nact.start({name} as never) as ActorRef<never>;
   return {root, onCrash, stop: () => nact.stop(root)};
 }
 
-/** Spawns an actor whose behaviour is a table of handlers. */
+/** Spawns an actor that handles messages with a table of handlers. */
 export function spawnActor<State, Message extends {type: string}>(
   system: ActorSystem,
   name: string,
@@ -73,16 +74,17 @@
 
 type TickMessage = {type: 'tick'};
 
-/** A task that runs again and again until stopped. */
+/** A task that runs periodically until it is stopped. */
 export interface PeriodicTask {
-  /** Runs it now; the period counts anew from its end. */
+  /** Runs the task now; the next period starts when it ends. */
   wake(): void;
   stop(): void;
 }
 
 /**
- * Spawns an actor that runs `task`, waits `everyMs` after it ended, and runs
- * it again. A task slower than its period is never run twice at once.
+ * Spawns an actor that runs `task`, waits `everyMs` after it ended, and runs it
+ * again. A task that is slower than its period never runs concurrently with
+ * itself.
  */
 export function spawnPeriodicTask(
   system: ActorSystem,
--- a/src/common/bounded_output.test.ts
+++ b/src/common/bounded_output.test.ts
@@ -1,4 +1,4 @@
-/** Log output whose reader stops, and more lines than are allowed. */
+/** Log output whose reader has stopped, or whose rate limit is exceeded. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -8,9 +8,10 @@
 } from './bounded_output.js';
 
 describe('log output', () => {
-  it('drops and counts what a reader that stopped does not take', () => {
-    // A request would wait for its own log line. The reader never takes the
-    // first piece; lines are kept up to a bound, and the process goes on.
+  it('drops and counts the lines that a stopped reader does not read', () => {
+    // Without the bound, requests would wait for their own log lines. Here the
+    // reader never accepts the first piece; lines are retained up to the
+    // backlog limit, and the process continues.
     let now = 0;
     const output = createBoundedOutput(
       () => {},
@@ -22,11 +23,11 @@
       now += 10;
       output.write(line);
     }
-    const kept = Math.floor(MAX_BACKLOG_BYTES / line.length);
-    assert.equal(output.countDropped(), 600 - kept);
+    const retained = Math.floor(MAX_BACKLOG_BYTES / line.length);
+    assert.equal(output.countDropped(), 600 - retained);
   });
 
-  it('keeps to its rate, tells the drops, and goes on the second after', async () => {
+  it('enforces its rate limit, reports drops, and recovers a second later', async () => {
     const written: string[] = [];
     let now = 0;
     const output = createBoundedOutput(
--- a/src/common/bounded_output.ts
+++ b/src/common/bounded_output.ts
@@ -1,33 +1,34 @@
 /**
- * Log output that never blocks the process and never grows without bound.
+ * Log output that never blocks the process and has a bounded buffer.
  *
- * Failure it answers: whoever reads the logs stops reading, or a fault makes
- * every request log a line. Symptom without it: writes to a full pipe stop the
- * process, or its memory fills with lines, and requests wait for their own log.
- * Lines are collected, written by the file system's own threads one piece at a
- * time, and dropped beyond a rate and a backlog; drops are counted and told.
+ * The reader of the logs may stop reading, or a fault may make every request
+ * log a line. Writes to a full pipe would then block the process, or its memory
+ * would fill with lines, and requests would wait for their own log lines.
+ * Therefore lines are buffered and written in pieces by the file system's
+ * thread pool, one piece at a time. Lines beyond a rate or a backlog limit are
+ * dropped; drops are counted and logged.
  */
 import {write} from 'node:fs';
 
-/** Lines a second that are written, at the most; further ones are dropped. */
+/** Maximum lines per second; further ones are dropped. */
 export const MAX_LINES_PER_S = 400;
 
-/** Bytes that may wait for the reader. */
+/** Maximum bytes that wait for the reader. */
 export const MAX_BACKLOG_BYTES = 256 * 1024;
 
-/** Lines are collected for this long, in ms: one write for many lines. */
+/** How long lines are buffered to be written together, in ms. */
 export const FLUSH_INTERVAL_MS = 50;
 
-/** A stream as the logger takes it. */
+/** The output stream of a logger. */
 export interface BoundedOutput {
   write(line: string): void;
-  /** Lines that were dropped so far. */
+  /** Number of lines dropped so far. */
   countDropped(): number;
-  /** Writes what waits, synchronously as far as the reader allows. */
+  /** Starts to write the buffered lines now; resolves when all are written. */
   flush(): Promise<void>;
 }
 
-/** Writes a piece to its destination; `done` is called when it is through. */
+/** Writes a piece to its destination and then calls `done`. */
 export type PieceWriter = (piece: string, done: () => void) => void;
 
 /** Writes to a file descriptor without blocking the event loop. */
@@ -41,10 +42,11 @@
         offset,
         bytes.length - offset,
         null,
-        (error, n) => {
-          // A reader that is gone takes its log with it.
-          if (error || offset + n >= bytes.length) done();
-          else writeFrom(offset + n);
+        (error, bytesWritten) => {
+          // After an error, such as a closed pipe, the rest of the piece is
+          // lost.
+          if (error || offset + bytesWritten >= bytes.length) done();
+          else writeFrom(offset + bytesWritten);
         },
       );
     }
@@ -64,10 +66,10 @@
   let windowStart = now();
   let linesInWindow = 0;
   let dropped = 0;
-  let droppedTold = 0;
+  let reportedDropped = 0;
   let waiters: (() => void)[] = [];
 
-  function hasBudget(bytes: number): boolean {
+  function hasRoom(bytes: number): boolean {
     const at = now();
     if (at - windowStart >= 1000) {
       windowStart = at;
@@ -81,12 +83,12 @@
   }
 
   function takePiece(): string {
-    if (dropped > droppedTold) {
-      const count = dropped - droppedTold;
+    if (dropped > reportedDropped) {
+      const count = dropped - reportedDropped;
       pending.push(
         `{"level":40,"dropped":${count},"msg":"log lines dropped"}\n`,
       );
-      droppedTold = dropped;
+      reportedDropped = dropped;
     }
     const piece = pending.join('');
     pending = [];
@@ -112,7 +114,7 @@
 
   return {
     write(line) {
-      if (!hasBudget(line.length)) {
+      if (!hasRoom(line.length)) {
         dropped++;
         return;
       }
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,22 +1,27 @@
 /**
- * The time source handed to everything that waits. Functions that decide take
+ * The time source of all code that waits. Functions that make decisions take
  * `now` as an argument instead; only their callers hold a clock.
  */
 
-/** Ends a scheduled call; calling it again, or after the call ran, is harmless. */
+/** Cancels a scheduled call; does nothing if that has run or was cancelled. */
 export type CancelSchedule = () => void;
 
-/** Monotonic and wall time, and timers. All times are in milliseconds. */
+/** Monotonic time, wall time and timers. All times are in ms. */
 export interface Clock {
-  /** Monotonic time: compare and subtract, never store or send. */
+  /**
+   * Monotonic time, for comparing and subtracting; never to be stored or sent.
+   */
   now(): number;
-  /** Wall time since the epoch: store and show, never subtract to decide. */
+  /**
+   * Wall time since the epoch, for storing and display; never to be subtracted
+   * for decisions.
+   */
   wallNow(): number;
   /** Runs `task` once after `delayMs`. */
   schedule(delayMs: number, task: () => void): CancelSchedule;
 }
 
-/** The clock of the running process. Timers do not keep the process alive. */
+/** Creates the real clock. Its timers do not keep the process alive. */
 export function createSystemClock(): Clock {
   return {
     now: () => performance.now(),
--- a/src/common/collections.ts
+++ b/src/common/collections.ts
@@ -1,6 +1,6 @@
-/** Helpers on collections that the language of this Node.js lacks. */
+/** Collection helpers that this version of Node.js lacks. */
 
-/** Items under the key that `getKey` gives each, in their order. */
+/** Groups items by the key that `getKey` returns, preserving their order. */
 export function groupBy<Item, Key>(
   items: Iterable<Item>,
   getKey: (item: Item) => Key,
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -1,14 +1,16 @@
-/** The error every refusal and failure is reported with. */
+/** The error that reports every refusal and failure of a request. */
 import type {Verdict} from './verdict.js';
 
 interface ErrorKind {
-  /** HTTP status of the answer. */
+  /** HTTP status of the response. */
   status: number;
-  /** `type` of the OpenAI-shaped error body. */
+  /** `type` in the OpenAI-compatible error body. */
   type: string;
 }
 
-/** Every error code, with what callers see of it. docs/OPERATIONS.md explains each. */
+/**
+ * All error codes and how callers see them. docs/OPERATIONS.md explains each.
+ */
 export const ERROR_KINDS = {
   invalid_request: {status: 400, type: 'invalid_request_error'},
   invalid_key: {status: 401, type: 'authentication_error'},
@@ -24,7 +26,7 @@
   limits_unavailable: {status: 503, type: 'unavailable_error'},
   overloaded: {status: 503, type: 'overloaded_error'},
   no_endpoint: {status: 503, type: 'overloaded_error'},
-  /** Endpoints end under this content, so that it is not sent for a time. */
+  /** Endpoints crash on this content, so it is not sent for some time. */
   quarantined: {status: 503, type: 'endpoint_error'},
   draining: {status: 503, type: 'overloaded_error'},
   isolated: {status: 503, type: 'unavailable_error'},
@@ -33,27 +35,28 @@
   endpoint_failed: {status: 502, type: 'endpoint_error'},
   endpoint_silent: {status: 504, type: 'endpoint_error'},
   answer_mismatch: {status: 502, type: 'endpoint_error'},
-  /** A call that may not be repeated was begun, and its end is not known. */
+  /**
+   * A call that may not be repeated was started, and its outcome is unknown.
+   */
   outcome_unknown: {status: 502, type: 'endpoint_error'},
-  /** A call ran before; its answer was too large to be recorded. */
+  /** The call ran before, but its response was too large to be recorded. */
   answer_not_kept: {status: 409, type: 'conflict_error'},
   cancelled: {status: 499, type: 'cancelled_error'},
   internal: {status: 500, type: 'internal_error'},
 } as const satisfies Record<string, ErrorKind>;
 
-/** A code of the table above. */
 export type ErrorCode = keyof typeof ERROR_KINDS;
 
 interface RouterErrorOptions {
   verdict: Verdict;
-  /** When the caller should come back, in ms. */
+  /** When the caller should retry, in ms. */
   retryAfterMs?: number;
-  /** The field of the request or document at fault. */
+  /** The invalid field of the request or document. */
   field?: string;
   cause?: unknown;
 }
 
-/** A refusal or failure, with the verdict on the request it ends. */
+/** A refusal or failure of a request, with the verdict on whether it ran. */
 export class RouterError extends Error {
   readonly code: ErrorCode;
   readonly verdict: Verdict;
@@ -69,13 +72,13 @@
     this.field = options.field;
   }
 
-  /** HTTP status of the answer. */
+  /** HTTP status of the response. */
   get status(): number {
     return ERROR_KINDS[this.code].status;
   }
 }
 
-/** The OpenAI-shaped body of an error answer. */
+/** Builds the OpenAI-compatible body of an error response. */
 export function buildErrorBody(error: RouterError): object {
   return {
     error: {
@@ -88,7 +91,9 @@
   };
 }
 
-/** Any thrown value as a RouterError; unknown ones become `internal`. */
+/**
+ * Converts any thrown value to a RouterError; unknown ones become `internal`.
+ */
 export function toRouterError(thrown: unknown, verdict: Verdict): RouterError {
   if (thrown instanceof RouterError) return thrown;
   const message = thrown instanceof Error ? thrown.message : String(thrown);
--- a/src/common/ids.ts
+++ b/src/common/ids.ts
@@ -1,14 +1,17 @@
-/** Identifiers and digests. */
+/** Generates identifiers and computes digests. */
 import {createHash, randomBytes, randomFillSync} from 'node:crypto';
 import {ulid} from 'ulid';
 
-/** Random bytes are drawn from the system so many at a time. */
+/** Random bytes fetched from the system at a time. */
 const POOL_BYTES = 1024;
 
 const pool = Buffer.alloc(POOL_BYTES);
 let poolUsed = POOL_BYTES;
 
-/** A number from 0 to below 1; an id draws sixteen, one system call each. */
+/**
+ * Returns a random number from 0 to below 1. An id needs 16 of them; without
+ * the pool each would be a system call.
+ */
 function drawRandom(): number {
   if (poolUsed === POOL_BYTES) {
     randomFillSync(pool);
@@ -17,25 +20,31 @@
   return pool[poolUsed++] / 256;
 }
 
-/** A unique id that sorts by `at`, the present by the wall clock as a rule. */
+/**
+ * Generates a unique id that sorts by `at`, which defaults to the current wall
+ * time.
+ */
 export function generateId(prefix: string, at?: number): string {
   return `${prefix}-${ulid(at, drawRandom).toLowerCase()}`;
 }
 
-/** A client account key as shown once to the operator: 192 random bits. */
+/**
+ * Generates a client account key of 192 random bits, shown once to the
+ * operator.
+ */
 export function generateSecret(): string {
   return `mr-${randomBytes(24).toString('base64url')}`;
 }
 
-/** SHA-256 in hexadecimal. */
+/** Computes a SHA-256 digest in hexadecimal. */
 export function hashText(text: string | Uint8Array): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
-/** Hexadecimal digits that name a request's content: 64 bits. */
+/** Hexadecimal digits of a content id: 64 bits. */
 const CONTENT_DIGITS = 16;
 
-/** What makes two requests the same one, sent again. */
+/** The content of a request; a request with equal content is a resend. */
 export interface RequestContent {
   account: string | undefined;
   method: string;
@@ -45,7 +54,10 @@
   body: Uint8Array;
 }
 
-/** Names what a request asks for: the same under whichever id it comes. */
+/**
+ * Computes the id of a request's content, which does not depend on the request
+ * id.
+ */
 export function computeContentId(content: RequestContent): string {
   const {account = '', method, host, target, body} = content;
   const head = JSON.stringify([account, method, host, target]);
--- a/src/common/ini_document.ts
+++ b/src/common/ini_document.ts
@@ -1,6 +1,7 @@
 /**
- * Reads INI text against a schema. Every fault names the section, the key and
- * what is allowed, so that its author can mend it without reading code.
+ * Parses INI text and validates it with a schema. Every fault names the
+ * section, the key and the allowed values, so that its author can correct it
+ * without reading code.
  */
 import ini from 'ini';
 import type * as z from 'zod';
@@ -13,7 +14,7 @@
   message: string;
 }
 
-/** A document that breaks its schema. */
+/** A document that violates its schema. */
 export class InvalidDocumentError extends Error {
   readonly source: string;
   readonly faults: readonly DocumentFault[];
@@ -28,8 +29,8 @@
 }
 
 /**
- * Parses `text`; `source` names it in errors.
- * Throws InvalidDocumentError with every fault found.
+ * Parses `text`; `source` is its name in errors. Throws InvalidDocumentError
+ * with all faults found.
  */
 export function parseIniDocument<Schema extends z.ZodType>(
   text: string,
@@ -60,15 +61,15 @@
   return [{where: describePath(path), message: issue.message}];
 }
 
-/** The last step is the key, those before it the section. */
+/** Formats a path: its last element is the key, the others are the section. */
 function describePath(path: string[]): string {
   if (path.length < 2) return path.join('') || 'document';
   return `${path.slice(0, -1).join('.')} / ${path[path.length - 1]}`;
 }
 
 /**
- * A key given twice in one section: the parser would keep the last without a
- * word, and the author would believe the first to be in force.
+ * Finds keys given twice in one section. The parser silently uses the last
+ * value, while the author may expect the first to be active.
  */
 function findRepeatedKeys(text: string): DocumentFault[] {
   const faults: DocumentFault[] = [];
--- a/src/common/log.ts
+++ b/src/common/log.ts
@@ -1,15 +1,18 @@
-/** Logs: one line for each change of state, none for each request. */
+/**
+ * Loggers. Parts log changes of state; only the gateway logs a line per
+ * request.
+ */
 import bunyan from 'bunyan';
 
-/** A logger; fields first, then a short message. */
+/** A logger that takes fields first, then a short message. */
 export type Log = bunyan;
 
-/** `level` is a bunyan level name; output goes to standard error. */
+/** Creates a logger on standard error. */
 export function createLog(name: string, level: bunyan.LogLevel = 'info'): Log {
   return bunyan.createLogger({name, level, stream: process.stderr});
 }
 
-/** A logger whose lines go to `output`, which never blocks. */
+/** Creates a logger that writes to `output`, which must not block. */
 export function createOutputLog(
   name: string,
   level: bunyan.LogLevel,
@@ -19,7 +22,7 @@
   return bunyan.createLogger({name, streams: [{level, stream}]});
 }
 
-/** A logger that writes nothing, for tests and embedded use. */
+/** Creates a logger that writes nothing, for tests and embedded use. */
 export function createSilentLog(): Log {
   return bunyan.createLogger({name: 'silent', streams: []});
 }
--- a/src/common/metrics.ts
+++ b/src/common/metrics.ts
@@ -1,32 +1,35 @@
-/** Counters, gauges and histograms of one instance, by prom-client. */
+/** Counters, gauges and histograms of one instance, based on prom-client. */
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 
-/** Prefix of every metric's name. */
+/** Prefix of all metric names. */
 const PREFIX = 'mulberry_';
 
-/** Makes and collects the metrics of one instance. */
+/** Creates and collects the metrics of one instance. */
 export interface Metrics {
-  /** Made once for each name; asking again returns the same one. */
+  /** Creates a metric once per name; further calls return the same one. */
   createCounter(
     name: string,
     help: string,
     labels?: readonly string[],
   ): Counter;
   createGauge(name: string, help: string, labels?: readonly string[]): Gauge;
-  /** `buckets` in the unit that the name ends in. */
+  /** `buckets` are in the unit that the name ends with. */
   createHistogram(
     name: string,
     help: string,
     buckets: readonly number[],
     labels?: readonly string[],
   ): Histogram;
-  /** All metrics in the Prometheus text format. */
+  /** Renders all metrics in the Prometheus text format. */
   render(): Promise<string>;
-  /** Names and help texts, for the documentation's check. */
+  /** Lists names and help texts, for the check of the documentation. */
   list(): {name: string; help: string}[];
 }
 
-/** One registry; instances in the same process do not share it. */
+/**
+ * Creates metrics with their own registry, not shared by instances in the
+ * process.
+ */
 export function createMetrics(): Metrics {
   const registry = new Registry();
   const registers = [registry];
--- a/src/common/prompt_prefix.ts
+++ b/src/common/prompt_prefix.ts
@@ -1,25 +1,30 @@
 /**
- * Digests of a prompt's leading blocks. Engines cache prompt prefixes; requests
- * that share leading blocks are cheaper on the engine that holds them.
+ * Computes digests of a prompt's leading blocks. Engines cache prompt prefixes,
+ * so requests that share leading blocks are cheaper on an engine that cached
+ * them.
  */
 import murmurhash from 'murmurhash';
 
-/** Characters in a block: about 256 tokens, a few pages of an engine's cache. */
+/** Characters per block: about 256 tokens, a few pages of an engine's cache. */
 const BLOCK_CHARACTERS = 1024;
 
-/** Blocks beyond this add no choice: 16 Ki characters tell prompts apart. */
+/**
+ * Maximum blocks; the first 16 Ki characters are enough to distinguish prompts.
+ */
 const MAX_BLOCKS = 16;
 
-/** What of a completion's body its prompt is. */
+/** The fields of a completion's body that determine its prompt prefix. */
 export interface PromptSource {
   model: string;
-  /** Chat. */
+  /** Of a chat completion. */
   messages?: unknown;
-  /** Text completions. */
+  /** Of a text completion. */
   prompt?: unknown;
 }
 
-/** The digests of a completion's prompt; engines cache the same blocks. */
+/**
+ * Computes the prefix digests of a completion; engines cache the same blocks.
+ */
 export function computeRequestPrefixes({
   model,
   messages,
@@ -29,8 +34,9 @@
 }
 
 /**
- * One digest for each whole leading block, shortest prefix first. Each covers
- * all text before it, so equal digests mean equal prefixes.
+ * Computes one digest for each complete leading block, shortest prefix first.
+ * Each covers the model and all text up to its block, so equal digests mean
+ * equal prefixes.
  */
 export function computePrefixHashes(model: string, prompt: string): string[] {
   const blocks = Math.min(
@@ -48,7 +54,9 @@
   return hashes;
 }
 
-/** 64 bits from two seeds: 32 would collide among a day's prompts. */
+/**
+ * Computes 64 bits from two seeds; 32 bits would collide among a day's prompts.
+ */
 function computeDigest(text: string): string {
   const [high, low] = [0, 1].map(seed => murmurhash.v3(text, seed));
   return [high, low].map(half => half.toString(16).padStart(8, '0')).join('');
--- a/src/common/shared_time.test.ts
+++ b/src/common/shared_time.test.ts
@@ -1,11 +1,11 @@
-/** The shared time as answers tell it. */
+/** The shared time, set from the store's responses. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createSharedTime} from './shared_time.js';
 import {createVirtualClock} from './virtual_clock.js';
 
 describe('the shared time', () => {
-  it('is unknown until an answer tells it, and goes on by itself', () => {
+  it('is unknown until the first response, and then advances by itself', () => {
     const clock = createVirtualClock();
     const time = createSharedTime(clock);
     assert.equal(time.read(), undefined);
@@ -14,7 +14,7 @@
     assert.equal(time.read(), 50_700);
   });
 
-  it('is not set back by an answer that took long', () => {
+  it('is not set back by a slow response', () => {
     const clock = createVirtualClock();
     const time = createSharedTime(clock);
     time.note(50_000);
@@ -23,9 +23,10 @@
     assert.equal(time.read(), 52_000);
   });
 
-  // A machine is suspended for four seconds, which its monotonic clock does not
-  // count: by it, work accepted on other machines meanwhile lies in the future.
-  it('makes up for a suspension with the next answer', () => {
+  // A machine is suspended for 4 seconds that its monotonic clock does not
+  // count. By that clock, work accepted meanwhile on other machines is in the
+  // future.
+  it('catches up after a suspension with the next response', () => {
     const clock = createVirtualClock();
     const time = createSharedTime(clock);
     time.note(50_000);
--- a/src/common/state_dump.ts
+++ b/src/common/state_dump.ts
@@ -1,11 +1,11 @@
-/** What each part of an instance shows of itself on request. */
+/** State that the parts of an instance show on request. */
 
-/** A part that can describe its state. Never a key, secret or request body. */
+/** A part that describes its state, without keys, secrets or request bodies. */
 export interface StateSource {
   describeState(): object;
 }
 
-/** The states of all parts by name. */
+/** Collects the states of all parts by name. */
 export function collectStates(
   sources: Record<string, StateSource>,
 ): Record<string, object> {
--- a/src/common/units.ts
+++ b/src/common/units.ts
@@ -1,4 +1,6 @@
-/** Schemas of the values with units that settings and documents hold. */
+/**
+ * Schemas of the values in settings and documents, such as values with units.
+ */
 import {isIPv4, isIPv6} from 'node:net';
 import * as z from 'zod';
 
@@ -24,17 +26,17 @@
 
 const SECONDS_PER_UNIT: Record<string, number> = {s: 1, m: 60, h: 3600};
 
-/** What a schema takes, in words, for the configuration page. */
+/** Describes the values that a schema accepts, for the configuration page. */
 export interface ValueForm {
   /** Such as `duration` or `whole number`. */
   form: string;
-  /** Such as `1ms to 1h`; empty where any value of the form goes. */
+  /** Such as `1ms to 1h`; undefined if any value of the form is accepted. */
   range?: string;
 }
 
 /**
- * `250ms`, `10s`, `5m`, `1h`, `2d` between `min` and `max`, which are written
- * the same way; the value is in milliseconds.
+ * Accepts `250ms`, `10s`, `5m`, `1h`, `2d` between `min` and `max`, which are
+ * written the same way; the value is in ms.
  */
 export function buildDurationSchema(min: string, max: string) {
   const minMs = parseAmount(min, DURATION_PATTERN, MS_PER_UNIT)!;
@@ -53,12 +55,12 @@
     .meta({form: 'duration', range: `${min} to ${max}`});
 }
 
-/** Any duration up to a year. */
+/** Accepts any duration up to a year. */
 export const durationSchema = buildDurationSchema('0ms', '365d');
 
 /**
- * `512B`, `64KiB`, `1MiB`, `2GiB` between `min` and `max`; the value is in
- * bytes.
+ * Accepts `512B`, `64KiB`, `1MiB`, `2GiB` between `min` and `max`; the value is
+ * in bytes.
  */
 export function buildSizeSchema(min: string, max: string) {
   const minBytes = parseAmount(min, SIZE_PATTERN, BYTES_PER_UNIT)!;
@@ -79,7 +81,7 @@
     .meta({form: 'size', range: `${min} to ${max}`});
 }
 
-/** Undefined when the text is not an amount with one of the units. */
+/** Parses an amount; undefined if it has none of the units. */
 function parseAmount(
   text: string,
   pattern: RegExp,
@@ -89,7 +91,7 @@
   return match ? Number(match[1]) * factors[match[2]] : undefined;
 }
 
-/** `20/s`, `600/m`, `100/h`; the value is in requests a second. */
+/** Accepts `20/s`, `600/m`, `100/h`; the value is in requests per second. */
 export const rateSchema = z
   .string()
   .transform((text, context) => {
@@ -105,7 +107,7 @@
   })
   .meta({form: 'rate', range: 'above 0'});
 
-/** A number above 0 and up to 1, such as `0.675`. */
+/** Accepts a number above 0 and up to 1, such as `0.675`. */
 export const shareSchema = z
   .string()
   .transform((text, context) => {
@@ -119,7 +121,7 @@
   })
   .meta({form: 'share', range: 'above 0, up to 1'});
 
-/** A whole number between `min` and `max`. */
+/** Accepts an integer between `min` and `max`. */
 export function buildIntegerSchema(min: number, max: number) {
   return z
     .string()
@@ -137,7 +139,7 @@
     .meta({form: 'whole number', range: `${min} to ${max}`});
 }
 
-/** A list separated by commas; empty entries are dropped. */
+/** Accepts a list separated by commas; empty entries are dropped. */
 export const listSchema = z
   .string()
   .transform(text =>
@@ -148,7 +150,7 @@
   )
   .meta({form: 'list, separated by commas'});
 
-/** `yes` or `no` (also `true`, `false`). */
+/** Accepts `yes` or `no` (also `true`, `false`). */
 export const booleanSchema = z
   .union([z.string(), z.boolean()])
   .transform((value, context) => {
@@ -163,7 +165,9 @@
   })
   .meta({form: 'yes or no'});
 
-/** `10.0.0.1:8080` or `[::1]:8080`: an IP number and a port. */
+/**
+ * Accepts an IP address and a port, such as `10.0.0.1:8080` or `[::1]:8080`.
+ */
 export const addressSchema = z
   .string()
   .refine(
@@ -180,7 +184,7 @@
   return isHost && Number(port) <= MAX_PORT;
 }
 
-/** Names of services, accounts, pools, instances and domains. */
+/** Accepts names of services, accounts, pools, instances and domains. */
 export const nameSchema = z
   .string()
   .regex(
--- a/src/common/verdict.ts
+++ b/src/common/verdict.ts
@@ -1,16 +1,16 @@
 /**
- * The verdict on a request that gave no answer: whether it may have run.
- * Callers act on it (resend or not), so `not-run` needs a proof.
+ * The verdict on a request without a response: whether it may have run. Callers
+ * decide by it whether to resend, so `not-run` requires proof.
  */
 import * as z from 'zod';
 
-/** Every verdict, as it appears in answers and headers. */
+/** All verdicts, as they appear in response bodies and headers. */
 export const verdictSchema = z.enum(['not-run', 'may-have-run', 'ran']);
 
 /**
- * - `not-run`: proved never to have reached an endpoint's admission.
- * - `may-have-run`: it was sent and its outcome is unknown.
- * - `ran`: an endpoint answered it.
+ * - `not-run`: it is proved that no endpoint admitted the request.
+ * - `may-have-run`: the request was sent and its outcome is unknown.
+ * - `ran`: an endpoint responded to the request.
  */
 export type Verdict = z.infer<typeof verdictSchema>;
 
@@ -20,7 +20,7 @@
   ran: 2,
 };
 
-/** The verdict on a request given those of its attempts. */
+/** Merges the verdicts on two attempts into that on their request. */
 export function mergeVerdicts(a: Verdict, b: Verdict): Verdict {
   return SEVERITY[a] >= SEVERITY[b] ? a : b;
 }
--- a/src/common/virtual_clock.ts
+++ b/src/common/virtual_clock.ts
@@ -1,6 +1,6 @@
 /**
- * A clock that moves only when told to, so that tests and plays give the same
- * verdict on every run.
+ * A clock that advances only on demand, so that tests and simulations have the
+ * same result on every run.
  */
 import {Heap} from 'heap-js';
 import type {Clock} from './clock.js';
@@ -12,17 +12,19 @@
   task: () => void;
 }
 
-/** A clock under the test's control. */
+/** A clock that is advanced by the test. */
 export interface VirtualClock extends Clock {
-  /** Moves time forward, running each due task at its own time, in order. */
+  /** Advances the time and runs each due task at its own time, in order. */
   advance(byMs: number): void;
-  /** As `advance`, letting promise callbacks run after each task. */
+  /** Like `advance`, but runs pending promise callbacks after each task. */
   advanceAsync(byMs: number): Promise<void>;
-  /** Time of the next scheduled task, or undefined when none is left. */
+  /**
+   * Returns the time of the next scheduled task; undefined if there is none.
+   */
   peekNext(): number | undefined;
 }
 
-/** `wallOffset` is what the wall clock shows when monotonic time is zero. */
+/** `wallOffset` is the wall time at monotonic time 0. */
 export function createVirtualClock(wallOffset = 0): VirtualClock {
   let time = 0;
   let sequence = 0;
@@ -79,7 +81,7 @@
   };
 }
 
-/** Lets every promise callback that is ready, and those they ready, run. */
+/** Runs pending promise callbacks, and those that they make pending in turn. */
 async function drainMicrotasks(): Promise<void> {
   for (let turn = 0; turn < 4; turn++) {
     await new Promise<void>(resolve => setImmediate(resolve));
