--- a/src/common/log.ts
+++ b/src/common/log.ts
@@ -1,7 +1,4 @@
-/**
- * Loggers. Parts log changes of state; only the gateway logs a line per
- * request.
- */
+/** Loggers. Only the gateway logs each request; others log changes of state. */
 import bunyan from 'bunyan';
 
 /** A logger that takes fields first, then a short message. */
--- a/src/instance/callers/intent_expiry.ts
+++ b/src/instance/callers/intent_expiry.ts
@@ -1,8 +1,8 @@
 /**
  * Removes expired intents. Each intent has a second row in a partition for the
  * hour it was written in, so that old intents are found without reading the
- * others. Instances that write intents periodically remove some old ones: the
- * work is proportional to the writes and needs no dedicated instance.
+ * others. An instance removes some old intents for every few that it writes, so
+ * the work is proportional to the writes and needs no dedicated instance.
  */
 import type {
   RowKey,
--- a/src/instance/gateway/constants.ts
+++ b/src/instance/gateway/constants.ts
@@ -37,7 +37,7 @@
 /** Retry-After for requests to an instance that cannot serve them yet. */
 export const UNREADY_RETRY_AFTER_MS = 500;
 
-/** Retry-After for requests whose every attempt was refused by the endpoint. */
+/** Retry-After for requests that got no slot or were refused by all endpoints. */
 export const REFUSED_RETRY_AFTER_MS = 200;
 
 /** A request must be received completely within this time. */
--- a/src/instance/gateway/request_limits.test.ts
+++ b/src/instance/gateway/request_limits.test.ts
@@ -19,7 +19,7 @@
     assert.equal(computeStartBy(makeAdmittedRequest(0)), Infinity);
   });
 
-  it('aborts the wait when it expires, as distinct from a caller that left', () => {
+  it('aborts the wait when it expires, and reports the expiry', () => {
     const clock = createVirtualClock();
     const caller = new AbortController();
     const timeout = createFirstSlotTimeout(clock, 1100, caller.signal);
@@ -30,7 +30,7 @@
     assert.equal(timeout.hasExpired(), true);
   });
 
-  it('aborts the wait when the request ends, and no longer expires once closed', () => {
+  it('reports no expiry when the request ends, and none once closed', () => {
     const clock = createVirtualClock();
     const caller = new AbortController();
     const timeout = createFirstSlotTimeout(clock, Infinity, caller.signal);
--- a/src/stores/constants.ts
+++ b/src/stores/constants.ts
@@ -19,8 +19,8 @@
 export const MAX_ATTEMPTS = 3;
 
 /**
- * Backoff before the first retry; it doubles each time, with jitter over half
- * of it.
+ * Base and maximum of the exponential backoff: retry n waits
+ * RETRY_BASE_MS * 2^n, with jitter over half of that.
  */
 export const RETRY_BASE_MS = 50;
 export const RETRY_MAX_MS = 1000;
--- a/src/stores/object_store.ts
+++ b/src/stores/object_store.ts
@@ -17,10 +17,7 @@
   append(piece: Uint8Array): Promise<void>;
   /** Makes the pieces one object, which replaces any of that name. */
   complete(): Promise<void>;
-  /**
-   * Discards the pieces; does nothing after `complete` and may follow a
-   * failure.
-   */
+  /** Discards the pieces; safe to call after `complete` or a failure. */
   cancel(): Promise<void>;
 }
 
--- a/src/stores/s3_objects.ts
+++ b/src/stores/s3_objects.ts
@@ -82,11 +82,8 @@
     range: ByteRange,
   ): Promise<Buffer | undefined> {
     if (range.end <= range.start) {
-      const whole = await call({method: 'HEAD', url: buildUrl(name)}, [
-        OK,
-        404,
-      ]);
-      return isAbsent(whole) ? undefined : Buffer.alloc(0);
+      const head = await call({method: 'HEAD', url: buildUrl(name)}, [OK, 404]);
+      return isAbsent(head) ? undefined : Buffer.alloc(0);
     }
     const response = await fetchRange(name, range);
     return isAbsent(response) ? undefined : readRange(response, range);
