--- a/src/decisions/admission.ts
+++ b/src/decisions/admission.ts
@@ -78,7 +78,11 @@
 }
 
 /** Whether a waiting request can no longer be answered in time. */
-export function isHopeless(ownMs: number, deadline: number, now: number) {
+export function isDeadlineUnreachable(
+  ownMs: number,
+  deadline: number,
+  now: number,
+) {
   return now + ownMs > deadline;
 }
 
--- a/src/decisions/batch_order.test.ts
+++ b/src/decisions/batch_order.test.ts
@@ -4,7 +4,7 @@
 import {isTight, sortForYield} from './batch_order.js';
 import type {HeldSlot} from './endpoint_tracker.js';
 import {createPoolScheduler} from './pool_scheduler.js';
-import {TIGHT_SLACK_MS} from './scheduler_constants.js';
+import {REQUEUE_WAIT_MS} from './scheduler_constants.js';
 import {makeEndpoints, makeRequest} from './scheduler_fixtures.js';
 import type {SchedulerAction} from './scheduler_types.js';
 
@@ -84,8 +84,8 @@
         request: makeItem('item', now + leftMs + slackMs, leftMs),
         grantedAt: now,
       }) as HeldSlot;
-    assert.equal(isTight(hold(3000, TIGHT_SLACK_MS - 1), WORK_MS, now), true);
-    assert.equal(isTight(hold(3000, TIGHT_SLACK_MS + 1), WORK_MS, now), false);
+    assert.equal(isTight(hold(3000, REQUEUE_WAIT_MS - 1), WORK_MS, now), true);
+    assert.equal(isTight(hold(3000, REQUEUE_WAIT_MS + 1), WORK_MS, now), false);
     assert.equal(isTight(hold(3000, -1), WORK_MS, now), false);
   });
 });
--- a/src/decisions/batch_order.ts
+++ b/src/decisions/batch_order.ts
@@ -13,7 +13,7 @@
  *   for being stopped now goes on while only late questions wait.
  */
 import type {HeldSlot} from './endpoint_tracker.js';
-import {TIGHT_SLACK_MS} from './scheduler_constants.js';
+import {REQUEUE_WAIT_MS} from './scheduler_constants.js';
 import type {ScheduledRequest} from './scheduler_types.js';
 
 /**
@@ -41,10 +41,10 @@
   meanMs: number,
   now: number,
 ): boolean {
-  const soon = now + TIGHT_SLACK_MS;
+  const soon = now + REQUEUE_WAIT_MS;
   return (
     !isPastSaving(request, meanMs, grantedAt, now) &&
-    isPastSaving(request, meanMs, grantedAt + TIGHT_SLACK_MS, soon)
+    isPastSaving(request, meanMs, grantedAt + REQUEUE_WAIT_MS, soon)
   );
 }
 
--- a/src/decisions/batch_pacing.ts
+++ b/src/decisions/batch_pacing.ts
@@ -24,13 +24,13 @@
  */
 import {isTight, sortForYield} from './batch_order.js';
 import {
-  countFree,
+  countFreeSlots,
   estimateCost,
   type ChoiceContext,
 } from './endpoint_choice.js';
 import type {EndpointTracker, HeldSlot} from './endpoint_tracker.js';
 import {
-  BATCH_LEAD_MS,
+  MAX_BATCH_BACKLOG_MS,
   LAST_SLOT_COST_MS,
   MAX_PREFILL_BACKLOG_MS,
   YIELD_SLACK_MS,
@@ -62,8 +62,9 @@
   let least = Infinity;
   for (const tracker of trackers) {
     if (!tracker.allowsBatch()) continue;
-    const free = countFree(tracker, context);
-    if (free === 0 || tracker.estimateBacklog(now) > BATCH_LEAD_MS) continue;
+    const free = countFreeSlots(tracker, context);
+    if (free === 0 || tracker.estimateBacklog(now) > MAX_BATCH_BACKLOG_MS)
+      continue;
     const lastSlot = free === 1 ? LAST_SLOT_COST_MS : 0;
     const cost = lastSlot + estimateCost(tracker, request, context, now);
     if (cost >= least) continue;
@@ -81,7 +82,7 @@
 ): number {
   let room = 0;
   for (const tracker of trackers) {
-    room += countFree(tracker, context);
+    room += countFreeSlots(tracker, context);
     room += tracker.countYielding(now - YIELD_TIMEOUT_MS);
   }
   return room;
--- a/src/decisions/batch_turns.ts
+++ b/src/decisions/batch_scheduler.ts
@@ -11,7 +11,7 @@
   selectUsable,
 } from './batch_pacing.js';
 import {
-  countFree,
+  countFreeSlots,
   selectCandidates,
   type ChoiceContext,
 } from './endpoint_choice.js';
@@ -22,7 +22,7 @@
 import type {WaitingQueues} from './waiting_queues.js';
 
 /** What the scheduler does for the turns. */
-export interface BatchTurnsDependencies {
+export interface BatchSchedulerDependencies {
   context: ChoiceContext;
   queues: WaitingQueues;
   estimateWork: (request: ScheduledRequest) => number;
@@ -35,25 +35,25 @@
 }
 
 /** Turns of batch items among questions. */
-export interface BatchTurns {
+export interface BatchScheduler {
   /** A question came. */
-  noteQuestion(request: ScheduledRequest, now: number): void;
+  noteOnlineRequest(request: ScheduledRequest, now: number): void;
   /** Questions a ms. */
-  getQuestionRate(now: number): number;
+  getOnlineRate(now: number): number;
   /** Stops items for questions that wait, or are about to come. */
-  makeRoom(open: readonly EndpointTracker[], now: number): void;
+  preemptItems(open: readonly EndpointTracker[], now: number): void;
   /** Starts items where no question would miss the slot. */
   startItems(open: readonly EndpointTracker[], now: number): void;
 }
 
 /** Starts without questions. */
-export function createBatchTurns({
+export function createBatchScheduler({
   context,
   queues,
   estimateWork,
   grant,
   orderYields,
-}: BatchTurnsDependencies): BatchTurns {
+}: BatchSchedulerDependencies): BatchScheduler {
   const {latency, mechanisms} = context;
   const reserve = createOnlineReserve();
 
@@ -75,7 +75,7 @@
       ? reserve.countQuiet(open.length, estimateFirstByte(request), now)
       : 0;
     const unoccupied = open.filter(
-      each => countFree(each, context) > 0 && !each.hasBatchPrefill(now),
+      each => countFreeSlots(each, context) > 0 && !each.hasBatchPrefill(now),
     ).length;
     const reserved = mechanisms.headroom
       ? reserve.countHeadroom(open.length, now)
@@ -106,10 +106,10 @@
   }
 
   return {
-    noteQuestion: (request, now) =>
+    noteOnlineRequest: (request, now) =>
       reserve.note(isUrgentNow(request, now), now),
-    getQuestionRate: now => reserve.getRate(now),
-    makeRoom(open, now) {
+    getOnlineRate: now => reserve.getRate(now),
+    preemptItems(open, now) {
       if (!mechanisms.slotYields) return;
       const ahead = reserve.countAhead(open.length, now);
       orderYields(selectSlotYields(open, ahead, context, now), now);
--- a/src/decisions/concurrency_limit.ts
+++ b/src/decisions/concurrency_limit.ts
@@ -1,39 +1,40 @@
 /**
- * How many requests one endpoint runs at once, learned below the document's
- * limit.
+ * Learns how many requests one endpoint runs at once, at most the limit of the
+ * service document.
  *
- * Pattern of load: an endpoint whose memory holds fewer sequences than the
- * document allows, because prompts grew or a neighbour took memory. The rest
- * queues inside the engine, first come first served: an online question then
- * stands behind batch work that nobody can reorder.
+ * Load pattern: the memory of an endpoint holds fewer sequences than the document
+ * allows, because prompts grew or another process took memory. Without a learned
+ * limit, the excess queues inside the engine in order of arrival. An online
+ * request then waits behind batch work that the scheduler cannot reorder.
  *
- * A first byte far later than predicted (QUEUED_RATIO, and QUEUED_EXCESS_MS so
- * that noise on short prompts does not count), or a report of requests waiting
- * inside, lowers the limit when it is seen QUEUED_IN_A_ROW times: one long
- * prompt or one crowded moment is no evidence. Not more than once in
- * LIMIT_COOLDOWN_MS: requests sent before it still come back late.
+ * The limit is lowered after MIN_QUEUED_SIGNS consecutive signs of queueing, since
+ * one long prompt or one short peak proves nothing. A sign is a first byte much
+ * later than predicted (by QUEUED_RATIO, and by QUEUED_EXCESS_MS so that noise on
+ * short prompts does not count), or a report of requests that wait inside. It is
+ * lowered at most once in LIMIT_COOLDOWN_MS, because requests sent before the
+ * decrease still return late.
  *
- * Answers on time while at least half the limit runs raise it by one for each
- * limit's worth of them. Asking for a full endpoint would never raise it, since
- * batch work leaves slots free: in the play with slow prefill, limits fell to 4
- * while the model still learned, stayed there, and batch throughput was 0.15 of
- * the bound.
+ * First bytes on time while at least half the limit runs raise the limit, by one
+ * for each limit's worth of them. Requiring a full endpoint would never raise it,
+ * since batch work leaves slots free: in the simulation with slow prefill, limits
+ * fell to 4 while the model was still learning and stayed there, and batch
+ * throughput was 0.15 of its bound.
  */
 import {
   LIMIT_COOLDOWN_MS,
   LIMIT_DECREASE,
   MIN_LIMIT,
   QUEUED_EXCESS_MS,
-  QUEUED_IN_A_ROW,
+  MIN_QUEUED_SIGNS,
   QUEUED_RATIO,
 } from './scheduler_constants.js';
 import type {LoadReport} from './scheduler_types.js';
 
 /** The learned limit of one endpoint. */
 export interface ConcurrencyLimit {
-  /** Whole requests, never above `maximum`. */
+  /** Returns the limit as an integer from 1 to `maximum`. */
   get(maximum: number): number;
-  /** A first byte came; `running` is how many ran when it was granted. */
+  /** Records a first byte; `running` requests ran there at its grant. */
   noteFirstByte(
     seen: {firstByteMs: number; predictedMs: number; running: number},
     now: number,
@@ -41,7 +42,7 @@
   noteReport(report: LoadReport, now: number): void;
 }
 
-/** Starts at the document's limit. */
+/** Creates a limit that starts at the document's. */
 export function createConcurrencyLimit(): ConcurrencyLimit {
   let limit = Infinity;
   let decreasedAt = -Infinity;
@@ -61,13 +62,13 @@
         firstByteMs > QUEUED_RATIO * predictedMs &&
         firstByteMs > predictedMs + QUEUED_EXCESS_MS;
       queuedAnswers = isQueued ? queuedAnswers + 1 : 0;
-      if (queuedAnswers >= QUEUED_IN_A_ROW) {
+      if (queuedAnswers >= MIN_QUEUED_SIGNS) {
         updateLimit(running * LIMIT_DECREASE, now);
       } else if (!isQueued && running >= limit / 2) limit += 1 / limit;
     },
     noteReport({running, waiting}, now) {
       queuedReports = waiting > 1 ? queuedReports + 1 : 0;
-      if (queuedReports >= QUEUED_IN_A_ROW) updateLimit(running, now);
+      if (queuedReports >= MIN_QUEUED_SIGNS) updateLimit(running, now);
     },
   };
 }
--- a/src/decisions/endpoint_choice.ts
+++ b/src/decisions/endpoint_choice.ts
@@ -1,19 +1,22 @@
 /**
- * Which endpoint a request goes to: the one where its first token is predicted
- * to come soonest.
+ * Chooses the endpoint for a request: the one with the earliest predicted first
+ * token.
  *
- * Pattern of load: prompts of very different length, hot prefixes, and load
- * reports that lag by seconds. Counting requests sends a question behind a
- * long prompt; following the reports sends all of them to the endpoint that
- * was idle a second ago. The prediction counts the work sent and not yet done,
- * what the prompt would cost there given its cached prefix, the sequences that
- * lengthen its steps (RUNNING_COST_MS), and the endpoint's slowness.
- * Affinity is bounded by itself: once the queue at a hot prefix's endpoint
- * costs more than prefilling elsewhere, elsewhere wins and has it cached next.
+ * Load pattern: prompts of very different lengths, hot prefixes, and load
+ * reports that lag by seconds. Choosing by the number of running requests sends
+ * a short request behind a long prompt. Choosing by load reports sends all
+ * requests to the endpoint that was idle a second ago.
  *
- * Engines get at most MAX_PREFILL_BACKLOG_MS of prefill in advance: enough to
- * keep them busy over several round trips, little enough that order and
- * fairness are decided here and not by arrival inside the engine.
+ * The prediction counts the work that was sent and is not yet done, the cost of
+ * the prompt given its cached prefix, the sequences that lengthen each step of
+ * the engine (RUNNING_COST_MS), and the endpoint's slowness. This bounds prefix
+ * affinity as well: if waiting at the endpoint of a hot prefix costs more than
+ * prefilling the prefix elsewhere, another endpoint is chosen and has it cached
+ * from then on.
+ *
+ * Engines get at most MAX_PREFILL_BACKLOG_MS of prefill in advance. This keeps
+ * them busy over several round trips, while the scheduler still decides order
+ * and fairness instead of the order of arrival inside the engine.
  */
 import type {EndpointTracker} from './endpoint_tracker.js';
 import type {LatencyModel} from './latency_model.js';
@@ -24,7 +27,10 @@
 } from './scheduler_constants.js';
 import type {PoolLimits, ScheduledRequest} from './scheduler_types.js';
 
-/** Predicted time to the first byte, with what it costs others there. */
+/**
+ * Predicts the time to the first byte of a request on an endpoint, including
+ * the delay from sequences that already run there.
+ */
 export function estimateCost(
   tracker: EndpointTracker,
   request: ScheduledRequest,
@@ -33,37 +39,37 @@
 ): number {
   if (!mechanisms.prediction) return tracker.countRunning();
   const uncached = tracker.estimateUncached(request, now);
-  const alone =
+  const idleFirstByteMs =
     latency.estimateFirstByte(uncached) +
     RUNNING_COST_MS * tracker.countRunning();
   const slowness = Math.max(1, tracker.health.getSlowness());
-  return tracker.estimateBacklog(now) + alone * slowness;
+  return tracker.estimateBacklog(now) + idleFirstByteMs * slowness;
 }
 
-/** What the choice depends on. */
+/** Pool-wide inputs of the choice. */
 export interface ChoiceContext {
   latency: LatencyModel;
   limits: PoolLimits;
   mechanisms: Readonly<Mechanisms>;
 }
 
-/** Slots that nothing holds. */
-export function countFree(
+/** Counts the free slots of an endpoint. */
+export function countFreeSlots(
   tracker: EndpointTracker,
   {limits, mechanisms}: ChoiceContext,
 ): number {
-  const most = tracker.description.slots ?? limits.maxConcurrency;
-  const limit = mechanisms.learnedLimit ? tracker.limit.get(most) : most;
+  const maximum = tracker.description.slots ?? limits.maxConcurrency;
+  const limit = mechanisms.learnedLimit ? tracker.limit.get(maximum) : maximum;
   return Math.max(0, limit - tracker.countRunning());
 }
 
-/** Whether a request may start there now; an ejected one takes one probe. */
+/** Whether a request may start there now; an ejected endpoint accepts one probe. */
 export function isOpen(tracker: EndpointTracker, now: number): boolean {
   const state = tracker.health.getState();
   return state === 'healthy' || tracker.health.shouldProbe(now);
 }
 
-/** The endpoint for an online request, or undefined when it must wait. */
+/** Chooses the endpoint for an online request; undefined if it must wait. */
 export function chooseForOnline(
   trackers: readonly EndpointTracker[],
   request: ScheduledRequest,
@@ -76,7 +82,7 @@
   let chosen: EndpointTracker | undefined;
   let least = Infinity;
   for (const tracker of trackers) {
-    if (countFree(tracker, context) === 0) continue;
+    if (countFreeSlots(tracker, context) === 0) continue;
     if (tracker.estimateBacklog(now) > maxBacklog) continue;
     const cost = estimateCost(tracker, request, context, now);
     if (cost >= least) continue;
@@ -86,7 +92,7 @@
   return chosen;
 }
 
-/** Endpoints a request may use: not those that failed it, unless all did. */
+/** Selects the endpoints that did not fail this request, or all if each did. */
 export function selectCandidates(
   trackers: readonly EndpointTracker[],
   request: ScheduledRequest,
--- a/src/decisions/endpoint_health.ts
+++ b/src/decisions/endpoint_health.ts
@@ -1,26 +1,29 @@
 /**
- * Whether an endpoint gets new work: slow, failing and silent ones do not.
+ * Decides whether an endpoint gets new work. Slow, failing and silent endpoints
+ * do not.
  *
- * Pattern of load: one endpoint of a dozen turns slow or goes silent. It still
- * has free slots, the more so the less it answers, and draws a twelfth or more
- * of all requests into time-outs.
+ * Load pattern: one endpoint of a dozen becomes slow or silent. The fewer
+ * requests it answers, the more free slots it seems to have, so it attracts a
+ * twelfth or more of all requests, which then time out.
  *
- * Slow: first bytes SLOW_RATIO times later than predicted, averaged over
- * several, so that one long prompt does not count. Failing: FAILURES_TO_EJECT
- * in a row without an answer between, or a share of MAX_FAILURE_SHARE by
- * failure_share.ts; a refusal counts in a row only, since it costs its request
- * nothing but another send. Silent: no sign of life while a first byte
- * is SILENT_FIRST_BYTES times its predicted time late (where first bytes are
- * reported), or no answer for SILENT_GAPS times
- * the gap expected from what runs there (chance of a healthy endpoint: e^-6),
- * or SILENCES_TO_EJECT time-outs; one alone may be one broken connection.
- * An ejected endpoint is probed by one request after a time that doubles, by a
- * batch item where there is one, since nobody waits for it.
+ * - Slow: its first bytes are SLOW_RATIO times later than predicted. This is an
+ *   average over several requests, so that one long prompt does not count.
+ * - Failing: FAILURES_TO_EJECT consecutive failures, or a share of failures above
+ *   MAX_FAILURE_SHARE (failure_share.ts). Refusals count only as consecutive
+ *   failures, since a refusal costs its request only another send.
+ * - Silent: no response at all while a first byte is overdue by
+ *   SILENT_FIRST_BYTES times its predicted time (where first bytes are reported),
+ *   or no answer for SILENT_GAPS times the gap expected from its running requests
+ *   (probability on a healthy endpoint: e^-6), or SILENCES_TO_EJECT timeouts. A
+ *   single timeout may be caused by one broken connection.
+ *
+ * An ejected endpoint is probed with one request after a delay that doubles each
+ * time. The probe is a batch item if there is one, since no caller waits for it.
  */
 import {
   FAILURES_TO_EJECT,
-  FIRST_PROBE_MS,
-  LAST_PROBE_MS,
+  FIRST_PROBE_DELAY_MS,
+  MAX_PROBE_DELAY_MS,
   SILENCES_TO_EJECT,
   SILENT_FIRST_BYTES,
   SILENT_GAPS,
@@ -32,31 +35,34 @@
 import {createFailureShare} from './failure_share.js';
 import type {SchedulerOutcome} from './scheduler_types.js';
 
-/** What an endpoint may be given. */
+/** Only healthy endpoints get work; ejected ones get probes. */
 export type HealthState = 'healthy' | 'suspected' | 'ejected';
 
 /** The health of one endpoint. */
 export interface EndpointHealth {
   getState(): HealthState;
-  /** How many times slower than predicted, averaged. */
+  /** Average ratio of actual to predicted first-byte time. */
   getSlowness(): number;
-  /** Whether an ejected endpoint may be tried with one request now. */
+  /** Whether an ejected endpoint may be probed with one request now. */
   shouldProbe(now: number): boolean;
   noteProbe(now: number): void;
-  /** A first byte came, `ratio` times as late as predicted. */
+  /** Records a first byte that took `ratio` times its predicted time. */
   noteFirstByte(ratio: number, now: number): void;
-  /** A request ended there. */
+  /** Records the outcome of a request on this endpoint. */
   noteOutcome(kind: SchedulerOutcome['kind'], now: number): void;
-  /** A first byte is overdue: `ageMs` since the request was sent. */
+  /** Checks an overdue first byte; `ageMs` is the time since sending. */
   checkFirstByte(ageMs: number, predictedMs: number, now: number): void;
-  /** Looks for silence; `expectedGapMs` between answers by what runs there. */
+  /**
+   * Checks for silence. `expectedGapMs` is the gap between answers expected from
+   * the running requests; `running` is undefined if there are none.
+   */
   checkProgress(
     running: {since: number; expectedGapMs: number} | undefined,
     now: number,
   ): void;
 }
 
-/** Starts healthy. */
+/** Creates the health of an endpoint, initially healthy. */
 export function createEndpointHealth(hasFailureShares = true): EndpointHealth {
   let state: HealthState = 'healthy';
   let slowness = 1;
@@ -66,14 +72,14 @@
   const share = createFailureShare();
   let lastAnswerAt = -Infinity;
   let probeAt = 0;
-  let backoffMs = FIRST_PROBE_MS;
+  let backoffMs = FIRST_PROBE_DELAY_MS;
   let isProbed = false;
 
   function markEjected(now: number) {
     if (state === 'ejected' && !isProbed) return;
-    if (isProbed) backoffMs = Math.min(LAST_PROBE_MS, backoffMs * 2);
+    if (isProbed) backoffMs = Math.min(MAX_PROBE_DELAY_MS, backoffMs * 2);
     else if (hasFailureShares) backoffMs = share.computePause(now);
-    else backoffMs = FIRST_PROBE_MS;
+    else backoffMs = FIRST_PROBE_DELAY_MS;
     state = 'ejected';
     isProbed = false;
     probeAt = now + backoffMs;
@@ -83,7 +89,7 @@
     state = 'healthy';
     isProbed = false;
     observations = 0;
-    share.noteReturn(now);
+    share.noteRecovery(now);
   }
 
   function noteRatio(ratio: number) {
@@ -92,7 +98,7 @@
     observations++;
   }
 
-  function noteSign(now: number) {
+  function noteSignOfLife(now: number) {
     lastAnswerAt = now;
     silences = 0;
     if (state === 'suspected') state = 'healthy';
@@ -100,7 +106,7 @@
 
   function noteFirstByte(ratio: number, now: number) {
     noteRatio(ratio);
-    noteSign(now);
+    noteSignOfLife(now);
     const isSlow = slowness > SLOW_RATIO;
     if (state === 'healthy' && isSlow && observations >= SLOW_OBSERVATIONS) {
       markEjected(now);
@@ -110,7 +116,7 @@
   function noteAnswer(now: number) {
     failures = 0;
     share.note(false);
-    noteSign(now);
+    noteSignOfLife(now);
     if (!isProbed) return;
     if (slowness > SLOW_RATIO) markEjected(now);
     else markHealthy(now);
@@ -135,8 +141,8 @@
       const isSilent = silences >= SILENCES_TO_EJECT || state === 'suspected';
       if (isProbed || isSilent) markEjected(now);
     },
-    // Ended by this side: says nothing of the endpoint, but for a probe,
-    // which must be sent again.
+    // Ended by this side, so it says nothing about the endpoint. If it was the
+    // probe, another one must be sent.
     cancelled(now) {
       if (isProbed) probeAt = now;
       isProbed = false;
@@ -158,18 +164,18 @@
     noteFirstByte,
     noteOutcome: (kind, now) => handlers[kind](now),
     checkFirstByte(ageMs, predictedMs, now) {
-      const patience =
+      const timeoutMs =
         SILENT_FIRST_BYTES * slowness * predictedMs + SILENT_SLACK_MS;
-      const isSilent = ageMs > patience && now - lastAnswerAt > patience;
+      const isSilent = ageMs > timeoutMs && now - lastAnswerAt > timeoutMs;
       if (state === 'healthy' && isSilent) state = 'suspected';
     },
     checkProgress(running, now) {
-      // Nothing left there that could answer: only a probe can tell.
+      // No request is left that could answer, so only a probe can tell.
       if (state === 'suspected' && !running) markEjected(now);
       if (state !== 'healthy' || !running) return;
       const since = Math.max(lastAnswerAt, running.since);
-      const patience = SILENT_GAPS * running.expectedGapMs + SILENT_SLACK_MS;
-      if (now - since > patience) state = 'suspected';
+      const timeoutMs = SILENT_GAPS * running.expectedGapMs + SILENT_SLACK_MS;
+      if (now - since > timeoutMs) state = 'suspected';
     },
   };
 }
--- a/src/decisions/endpoint_tracker.ts
+++ b/src/decisions/endpoint_tracker.ts
@@ -1,7 +1,8 @@
 /**
- * What is known of one endpoint: which requests hold its slots, how long its
- * prefill queue probably is, its learned limit, health and cached prefixes.
- * Reports of the endpoint lag by seconds, so what was sent counts first.
+ * Tracks the state of one endpoint: which requests hold its slots, the estimated
+ * length of its prefill queue, its learned limit, health and cached prefixes.
+ * Endpoints report their load seconds late, so estimates are based first on the
+ * requests sent to them.
  */
 import {
   createConcurrencyLimit,
@@ -12,7 +13,7 @@
 import type {Mechanisms} from './mechanisms.js';
 import {createPrefillQueue} from './prefill_queue.js';
 import {createPrefixMap, type PrefixMap} from './prefix_map.js';
-import {BATCH_FIRST_ITEMS} from './scheduler_constants.js';
+import {INITIAL_BATCH_ITEMS} from './scheduler_constants.js';
 import type {
   EndpointDescription,
   ScheduledRequest,
@@ -24,16 +25,16 @@
 export interface HeldSlot {
   request: ScheduledRequest;
   grantedAt: number;
-  /** When its prefill probably ends. */
+  /** Estimated end of its prefill. */
   prefillEndsAt: number;
-  /** Prompt tokens that were probably not cached. */
+  /** Estimated prompt tokens that were not cached. */
   uncachedTokens: number;
-  /** Time it probably stood behind other prefills. */
+  /** Estimated time it waited behind other prefills. */
   backlogMs: number;
   predictedFirstByteMs: number;
-  /** Requests that ran beside it when it was granted. */
+  /** Number of requests running there when it was granted. */
   running: number;
-  /** When it was told to make way. */
+  /** When it was ordered to yield. */
   yieldedAt?: number;
   hasFirstByte: boolean;
 }
@@ -41,37 +42,37 @@
 /** One endpoint of a pool. */
 export interface EndpointTracker {
   description: EndpointDescription;
-  /** False once it leaves: it keeps what runs and gets nothing new. */
+  /** False once it left the pool: running requests finish, no new ones start. */
   isListed: boolean;
   health: EndpointHealth;
   limit: ConcurrencyLimit;
   prefixes: PrefixMap;
   countRunning(): number;
-  countOf(workClass: WorkClass): number;
-  /** Batch items told to make way after `since` that still hold their slots. */
+  countByClass(workClass: WorkClass): number;
+  /** Counts the items ordered to yield after `since` that still hold their slots. */
   countYielding(since: number): number;
-  /** Time until its prefill queue is probably empty. */
+  /** Estimated time until its prefill queue is empty. */
   estimateBacklog(now: number): number;
-  /** Prompt tokens of a request that are probably not cached there. */
+  /** Estimated prompt tokens of a request that are not cached there. */
   estimateUncached(request: ScheduledRequest, now: number): number;
-  /** Batch items it runs that were not told to make way. */
+  /** Running batch items that were not ordered to yield. */
   listYieldable(): HeldSlot[];
-  /** Whether its answers so far allow one more batch item. */
+  /** Whether the number of its answers so far allows one more batch item. */
   allowsBatch(): boolean;
-  /** Whether a batch item is probably in prefill. */
+  /** Whether a batch item is estimated to be in prefill. */
   hasBatchPrefill(now: number): boolean;
   addSlot(request: ScheduledRequest, now: number): HeldSlot;
-  /** Counts a slot granted elsewhere; nothing is known of its prefill. */
+  /** Counts a slot that another dispatcher granted; its prefill is unknown. */
   adoptSlot(request: ScheduledRequest, now: number): void;
   markYielding(requestId: string, now: number): void;
   releaseSlot(requestId: string, outcome: SchedulerOutcome, now: number): void;
-  /** The first byte of its answer came. */
+  /** Records the first byte of a request's answer. */
   noteFirstByte(requestId: string, firstByteMs: number, now: number): void;
   checkProgress(now: number): void;
   describe(now: number): object;
 }
 
-/** Starts idle and healthy. */
+/** Creates a tracker for an idle and healthy endpoint. */
 export function createEndpointTracker(
   description: EndpointDescription,
   latency: LatencyModel,
@@ -100,8 +101,8 @@
   }
 
   /**
-   * Learns from a first byte, once for each slot. Only what stood behind
-   * nothing teaches what a prompt costs.
+   * Learns from a first byte, once for each slot. The cost of a prompt is learned
+   * only from requests that did not wait behind other prefills.
    */
   function updateFromFirstByte(
     slot: HeldSlot,
@@ -112,7 +113,8 @@
       return;
     slot.hasFirstByte = true;
     const {running, predictedFirstByteMs, uncachedTokens, backlogMs} = slot;
-    // Where predictions are short everywhere, no endpoint is to blame.
+    // If predictions are too low in the whole pool, the cause is not this
+    // endpoint.
     const predictedMs = predictedFirstByteMs * latency.getPoolRatio();
     limit.noteFirstByte({firstByteMs, predictedMs, running}, now);
     health.noteFirstByte(firstByteMs / predictedMs, now);
@@ -135,8 +137,8 @@
     const rate =
       counts.online / latency.getMeanTotal('online') +
       counts.batch / latency.getMeanTotal('batch');
-    // A batch of requests granted together ends together: the first answer is
-    // due a mean total after the endpoint became busy.
+    // Requests granted together end together, so the first answer is due one
+    // mean total time after the endpoint became busy.
     const slowness = Math.max(1, health.getSlowness());
     const meanTotal = slots.size / rate;
     return {
@@ -152,7 +154,7 @@
     limit,
     prefixes,
     countRunning: () => slots.size,
-    countOf: workClass => counts[workClass],
+    countByClass: workClass => counts[workClass],
     countYielding(since) {
       if (yielding === 0) return 0;
       return [...slots.values()].filter(
@@ -161,7 +163,7 @@
     },
     estimateBacklog: prefill.estimateBacklog,
     estimateUncached,
-    allowsBatch: () => counts.batch < BATCH_FIRST_ITEMS + answers,
+    allowsBatch: () => counts.batch < INITIAL_BATCH_ITEMS + answers,
     listYieldable: () =>
       [...slots.values()].filter(
         ({request, yieldedAt}) =>
@@ -175,7 +177,7 @@
       const prefillEndsAt = prefill.push(
         request,
         {
-          aloneMs: latency.estimateFirstByte(uncachedTokens) * slowness,
+          idleFirstByteMs: latency.estimateFirstByte(uncachedTokens) * slowness,
           prefillMs: latency.estimatePrefill(uncachedTokens) * slowness,
         },
         now,
@@ -212,7 +214,7 @@
       if (!slot || slot.yieldedAt !== undefined) return;
       slot.yieldedAt = now;
       yielding++;
-      // It leaves the engine before whatever is sent from now on is prefilled.
+      // It leaves the engine before the prefill of any request sent from now on.
       if (!slot.hasFirstByte) prefill.remove(requestId, 'stopped', now);
     },
     releaseSlot(requestId, outcome, now) {
--- a/src/decisions/failure_share.test.ts
+++ b/src/decisions/failure_share.test.ts
@@ -1,18 +1,18 @@
-/** One endpoint that fails a part of its requests while the rest are good. */
+/** Tests one endpoint that fails part of its requests while the others succeed. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createRandom} from '../plays/random.js';
-import {createFailureShare, LAST_RELAPSE_PAUSE_MS} from './failure_share.js';
+import {createFailureShare, MAX_RELAPSE_PAUSE_MS} from './failure_share.js';
 import {ALL_MECHANISMS} from './mechanisms.js';
 import {createPoolScheduler} from './pool_scheduler.js';
-import {FIRST_PROBE_MS} from './scheduler_constants.js';
+import {FIRST_PROBE_DELAY_MS} from './scheduler_constants.js';
 import {makeEndpoints, makeRequest} from './scheduler_fixtures.js';
 import type {SchedulerAction, SchedulerOutcome} from './scheduler_types.js';
 
 const ENDPOINTS = 10;
 const SLOTS = 8;
 const RUN_MS = 700;
-const GAP_MS = 17.5;
+const ARRIVAL_GAP_MS = 17.5;
 const FAULTY_MS = 6500;
 const FAILED: SchedulerOutcome = {kind: 'failed', tokens: 0};
 const ANSWERED: SchedulerOutcome = {
@@ -22,8 +22,12 @@
   tokens: 25,
 };
 
-/** Requests that failed of those sent while one endpoint fails `share`. */
-function playFaulty(share: number, failureShares: boolean, seed: number) {
+/** Counts sent and failed requests while one endpoint fails a `share` of its own. */
+function simulateFaultyEndpoint(
+  share: number,
+  failureShares: boolean,
+  seed: number,
+) {
   const random = createRandom(seed);
   const mechanisms = {...ALL_MECHANISMS, failureShares};
   const scheduler = createPoolScheduler({maxConcurrency: SLOTS}, mechanisms);
@@ -50,7 +54,7 @@
     for (const [id, outcome] of ends.get(now) ?? []) {
       runActions(scheduler.release(id, outcome, now), now);
     }
-    for (; sent * GAP_MS <= now; sent++) {
+    for (; sent * ARRIVAL_GAP_MS <= now; sent++) {
       const request = makeRequest({deadline: now + 5000});
       runActions(scheduler.submit(request, now), now);
     }
@@ -62,24 +66,24 @@
 function sumFailed(share: number, failureShares: boolean): number {
   let failed = 0;
   for (let seed = 1; seed <= 40; seed++) {
-    failed += playFaulty(share, failureShares, seed).failed;
+    failed += simulateFaultyEndpoint(share, failureShares, seed).failed;
   }
   return failed;
 }
 
-describe('an endpoint that fails a part of its requests', () => {
-  // Every other request that goes there is lost, since it may run once only.
-  // Three failures in a row come seldom, and one good answer to a probe brings
-  // the endpoint back: callers lose a twentieth of all they ask.
-  it('spoils far fewer when the share of its failures counts', t => {
+describe('an endpoint that fails part of its requests', () => {
+  // Guards against an endpoint that fails every other request and stays in use:
+  // three consecutive failures are rare, and one successful probe readmits it.
+  // Requests may run only once, so callers would lose 1 in 20 of all requests.
+  it('causes far fewer failed requests if its failure share is tracked', t => {
     const inARow = sumFailed(0.45, false);
     const byShare = sumFailed(0.45, true);
     t.diagnostic(JSON.stringify({inARow, byShare}));
     assert.ok(byShare < 0.6 * inARow);
   });
 
-  // Lost answers now and then are no reason to do without a sound endpoint.
-  it('is kept when it loses one in twenty', t => {
+  // Guards against ejecting a healthy endpoint because of occasional lost answers.
+  it('stays in use if it loses one request in 20', t => {
     const inARow = sumFailed(0.05, false);
     const byShare = sumFailed(0.05, true);
     t.diagnostic(JSON.stringify({inARow, byShare}));
@@ -88,16 +92,16 @@
 });
 
 describe('the pause of an endpoint that relapses', () => {
-  it('grows to its bound, and starts anew after a sound while', () => {
+  it('grows to its bound and resets after a healthy period', () => {
     const share = createFailureShare();
     const pauses = [0, 100, 200, 300].map(now => {
       const pause = share.computePause(now);
-      share.noteReturn(now);
+      share.noteRecovery(now);
       return pause;
     });
-    const twice = 2 * FIRST_PROBE_MS;
-    const most = LAST_RELAPSE_PAUSE_MS;
-    assert.deepEqual(pauses, [FIRST_PROBE_MS, twice, most, most]);
-    assert.equal(share.computePause(10_000), FIRST_PROBE_MS);
+    const twice = 2 * FIRST_PROBE_DELAY_MS;
+    const most = MAX_RELAPSE_PAUSE_MS;
+    assert.deepEqual(pauses, [FIRST_PROBE_DELAY_MS, twice, most, most]);
+    assert.equal(share.computePause(10_000), FIRST_PROBE_DELAY_MS);
   });
 });
--- a/src/decisions/fair_queue.ts
+++ b/src/decisions/fair_queue.ts
@@ -35,8 +35,8 @@
   /** `cost` is the work it asks for, in any unit common to all. */
   push(request: ScheduledRequest, cost: number): void;
   has(id: string): boolean;
-  /** Next in turn among accounts not in `passed`. */
-  peek(passed?: ReadonlySet<string>): ScheduledRequest | undefined;
+  /** Next in turn among accounts not in `skipped`. */
+  peek(skipped?: ReadonlySet<string>): ScheduledRequest | undefined;
   /** The next request of each account that waits. */
   listHeads(): ScheduledRequest[];
   /** The next request of one account. */
@@ -139,10 +139,10 @@
       expiry.push(entry);
     },
     has: id => entries.has(id),
-    peek(passed) {
+    peek(skipped) {
       let next: AccountQueue | undefined;
       for (const [name, queue] of accounts) {
-        if (queue.size === 0 || passed?.has(name)) continue;
+        if (queue.size === 0 || skipped?.has(name)) continue;
         if (!next || queue.virtualTime < next.virtualTime) next = queue;
       }
       return next && peekEntry(next)?.request;
--- a/src/decisions/item_work.ts
+++ b/src/decisions/item_work.ts
@@ -6,7 +6,7 @@
  * were. Reckoned by what whole items take, one that is nearly done looks too
  * late to be saved, and goes behind others that are.
  */
-import {AVERAGE_GAIN, MIN_PIECES_SEEN} from './scheduler_constants.js';
+import {AVERAGE_GAIN, MIN_PIECES_FOR_RATE} from './scheduler_constants.js';
 
 /** What was learned of items. */
 export interface ItemWork {
@@ -28,7 +28,7 @@
 
   return {
     noteRun(pieces, ranMs) {
-      if (pieces < MIN_PIECES_SEEN) return;
+      if (pieces < MIN_PIECES_FOR_RATE) return;
       pieceMs = average(pieceMs, ranMs / pieces);
     },
     noteWhole(pieces) {
--- a/src/decisions/latency_model.ts
+++ b/src/decisions/latency_model.ts
@@ -1,26 +1,28 @@
 /**
- * What a request will take on an endpoint of the pool, learned from how
- * granted requests ended. Time to the first byte grows with the prompt tokens
- * to prefill.
+ * Predicts how long a request takes on an endpoint of the pool, learned from
+ * granted requests that ended. The time to the first byte grows with the number
+ * of prompt tokens to prefill.
  *
- * Pattern of load: long prompts among short ones. Counting requests treats
- * them alike, and a short question behind a long prompt waits for all of it.
- * Fixed figures would fit one engine only; these follow within a few hundred
- * answers (REGRESSION_MEMORY), and begin from plausible ones
- * (REGRESSION_PRIOR) so that the first answers cannot swing them.
+ * Load pattern: long prompts among short ones. Without a prediction by length,
+ * all requests count alike, and a short request is sent behind a long prompt and
+ * waits for its whole prefill.
+ *
+ * Fixed values would fit only one engine. The learned ones follow a change within
+ * a few hundred answers (REGRESSION_DECAY). They start from plausible values
+ * (REGRESSION_PRIOR), so that the first answers cannot move them far.
  */
 import {
   AVERAGE_GAIN,
   INITIAL_LATENCY,
-  LONGEST_ANSWER_MEANS,
+  MAX_ANSWER_TIME_RATIO,
   MAX_POOL_RATIO,
-  MAX_SURPRISE,
-  REGRESSION_MEMORY,
+  MAX_DEVIATION,
+  REGRESSION_DECAY,
   REGRESSION_PRIOR,
 } from './scheduler_constants.js';
 import type {WorkClass} from './scheduler_types.js';
 
-/** Around which initial figures are believed. */
+/** Prompt length around which the initial line is weighted. */
 const TYPICAL_PROMPT_TOKENS = 400;
 
 /** A line y = base + slope * x. */
@@ -29,13 +31,16 @@
   slope: number;
 }
 
-/** Fits a line to observations, older ones counting less and less. */
+/** Fits a line to observations with exponentially decaying weights. */
 export interface LineFit {
   note(x: number, y: number): void;
   getLine(): Line;
 }
 
-/** Begins at `initial`, believed around `typicalX`; never below zero. */
+/**
+ * Creates a fit that starts at `initial`, weighted around `typicalX`. Base and
+ * slope never fall below zero.
+ */
 export function createLineFit(initial: Line, typicalX: number): LineFit {
   let weight = 0;
   let sumX = 0;
@@ -58,16 +63,16 @@
 
   return {
     note(x, y) {
-      weight *= REGRESSION_MEMORY;
-      sumX *= REGRESSION_MEMORY;
-      sumY *= REGRESSION_MEMORY;
-      sumXX *= REGRESSION_MEMORY;
-      sumXY *= REGRESSION_MEMORY;
+      weight *= REGRESSION_DECAY;
+      sumX *= REGRESSION_DECAY;
+      sumY *= REGRESSION_DECAY;
+      sumXX *= REGRESSION_DECAY;
+      sumXY *= REGRESSION_DECAY;
       addPoint(x, y, 1);
-      const spread = weight * sumXX - sumX * sumX;
+      const determinant = weight * sumXX - sumX * sumX;
       const slope =
-        spread > 1e-9
-          ? Math.max(0, (weight * sumXY - sumX * sumY) / spread)
+        determinant > 1e-9
+          ? Math.max(0, (weight * sumXY - sumX * sumY) / determinant)
           : line.slope;
       line = {slope, base: Math.max(0, (sumY - slope * sumX) / weight)};
     },
@@ -75,45 +80,45 @@
   };
 }
 
-/** What a model has learned, for the next dispatcher of the pool. */
+/** Learned values that are handed to the next dispatcher of the pool. */
 export interface LatencySnapshot {
   firstByte: Line;
-  /** Per token of an answer, in ms; absent before any was seen. */
+  /** Time per answer token; absent before the first answer. */
   perTokenMs?: number;
   totals: Record<WorkClass, number>;
 }
 
-/** The pool's latency as learned so far. Times in ms. */
+/** The learned latency of the pool. Times are in ms. */
 export interface LatencyModel {
-  /** First byte of a prompt with `tokens` to prefill on an idle engine. */
+  /** Time to the first byte on an idle engine, with `tokens` to prefill. */
   estimateFirstByte(tokens: number): number;
-  /** Time the engine is busy with that prefill alone. */
+  /** Part of that time in which the engine is busy with the prefill. */
   estimatePrefill(tokens: number): number;
-  /** From the first byte to the end of an answer of about `tokens`. */
+  /** Time from the first byte to the end of an answer of `tokens`. */
   estimateAnswer(tokens: number): number;
   /** Mean time from grant to release. */
   getMeanTotal(workClass: WorkClass): number;
   noteFirstByte(tokens: number, firstByteMs: number): void;
-  /** A first byte came `ratio` times later than predicted, anywhere. */
+  /** Records a first byte on any endpoint that took `ratio` times its prediction. */
   noteRatio(ratio: number): void;
-  /** How far predictions are short over the whole pool; 1 when they fit. */
+  /** Average ratio of actual to predicted time over the pool, at least 1. */
   getPoolRatio(): number;
-  /** An answer came whole; `answerTokens` as its caller had estimated. */
+  /** Records a complete answer; `answerTokens` is the estimate at admission. */
   noteAnswer(
     workClass: WorkClass,
     seen: {totalMs: number; firstByteMs: number; answerTokens: number},
   ): void;
   exportSnapshot(): LatencySnapshot;
   /**
-   * Begins anew at what another dispatcher had learned. Without it a takeover
-   * in a busy moment starts from a mid-range engine's figures, and requests
-   * wait for prefill that was over long ago (up to 0.9 s, for 1.5 s).
+   * Restarts from the values that another dispatcher learned. Without it, a
+   * takeover under load starts from the values of a mid-range engine, and for
+   * 1.5 s requests wait up to 0.9 s for prefills that already ended.
    */
   importSnapshot(snapshot: LatencySnapshot): void;
   describe(): object;
 }
 
-/** Begins with INITIAL_LATENCY. */
+/** Creates a model that starts from INITIAL_LATENCY. */
 export function createLatencyModel(): LatencyModel {
   let firstByte = createLineFit(
     {
@@ -134,7 +139,7 @@
     estimateAnswer: tokens =>
       Math.min(
         tokens * (perTokenMs ?? 0),
-        LONGEST_ANSWER_MEANS * totals.online,
+        MAX_ANSWER_TIME_RATIO * totals.online,
       ),
 
     estimateFirstByte(tokens) {
@@ -145,8 +150,8 @@
     getMeanTotal: workClass => totals[workClass],
     noteFirstByte(tokens, firstByteMs) {
       const {base, slope} = firstByte.getLine();
-      const most = MAX_SURPRISE * (base + slope * tokens);
-      firstByte.note(tokens, Math.min(firstByteMs, most));
+      const maximum = MAX_DEVIATION * (base + slope * tokens);
+      firstByte.note(tokens, Math.min(firstByteMs, maximum));
     },
     noteRatio(ratio) {
       const bounded = Math.min(MAX_POOL_RATIO, ratio);
--- a/src/decisions/online_reserve.test.ts
+++ b/src/decisions/online_reserve.test.ts
@@ -4,7 +4,7 @@
 import {createOnlineReserve} from './online_reserve.js';
 import {
   BATCH_HEADROOM,
-  BURST_HOLD_MS,
+  BURST_PAUSE_MS,
   YIELD_MS,
 } from './scheduler_constants.js';
 
@@ -62,7 +62,7 @@
       const now = noteSteady(reserve, () => true);
       for (let index = 0; index < 10; index++) reserve.note(true, now + index);
       assert.equal(reserve.isHeld(now + 10), true);
-      assert.equal(reserve.isHeld(now + 10 + BURST_HOLD_MS), false);
+      assert.equal(reserve.isHeld(now + 10 + BURST_PAUSE_MS), false);
     });
   });
 
--- a/src/decisions/online_reserve.ts
+++ b/src/decisions/online_reserve.ts
@@ -24,12 +24,12 @@
 } from './online_demand.js';
 import {
   BATCH_HEADROOM,
-  BURST_HOLD_MS,
+  BURST_PAUSE_MS,
   BURST_WINDOW_MS,
   DEMAND_WINDOW_MS,
-  FREE_FLOOR,
+  FREE_SLOT_FLOOR,
   MAX_QUIET_SHARE,
-  PATIENT_SHARE,
+  DEFERRABLE_SHARE,
   YIELD_MS,
 } from './scheduler_constants.js';
 
@@ -52,20 +52,20 @@
 /** Starts without questions. */
 export function createOnlineReserve(): OnlineReserve {
   const demand = createOnlineDemand(DEMAND_WINDOW_MS);
-  const pressing = createOnlineDemand(DEMAND_WINDOW_MS);
+  const urgent = createOnlineDemand(DEMAND_WINDOW_MS);
   const burst = createOnlineDemand(BURST_WINDOW_MS);
   let burstSeenAt = -Infinity;
 
   function isPatient(now: number): boolean {
     const rate = demand.getRate(now);
-    return rate > 0 && pressing.getRate(now) <= (1 - PATIENT_SHARE) * rate;
+    return rate > 0 && urgent.getRate(now) <= (1 - DEFERRABLE_SHARE) * rate;
   }
 
   return {
     note(isPressing, now) {
       demand.note(now);
       burst.note(now);
-      if (isPressing) pressing.note(now);
+      if (isPressing) urgent.note(now);
       if (isBurst(burst, demand, now)) burstSeenAt = now;
     },
     getRate: demand.getRate,
@@ -75,7 +75,7 @@
     },
     countAhead(endpoints, now) {
       if (isPatient(now)) return 0;
-      const floor = Math.ceil(endpoints * FREE_FLOOR);
+      const floor = Math.ceil(endpoints * FREE_SLOT_FLOOR);
       return Math.max(floor, estimateArriving(burst, demand, now));
     },
     countQuiet(endpoints, prefillMs, now) {
@@ -83,6 +83,6 @@
       const wanted = demand.estimateArrivals(prefillMs, now);
       return Math.min(wanted, Math.floor(endpoints * MAX_QUIET_SHARE));
     },
-    isHeld: now => !isPatient(now) && now - burstSeenAt < BURST_HOLD_MS,
+    isHeld: now => !isPatient(now) && now - burstSeenAt < BURST_PAUSE_MS,
   };
 }
--- a/src/decisions/pool_scheduler.test.ts
+++ b/src/decisions/pool_scheduler.test.ts
@@ -1,4 +1,4 @@
-/** What the scheduler promises whatever happens, and what callers get of it. */
+/** Tests the scheduler's guarantees in any history, and their effect for callers. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
@@ -17,7 +17,7 @@
   tokens: 20,
 };
 
-/** A scheduler whose every action is checked against its promises. */
+/** Creates a scheduler that checks each of its actions against its guarantees. */
 function createCheckedScheduler(endpointCount: number, maxConcurrency: number) {
   const scheduler = createPoolScheduler({maxConcurrency});
   const requests = new Map<string, ScheduledRequest>();
@@ -33,38 +33,45 @@
     ) => void;
   } = {
     grant({requestId, endpoint}) {
-      assert.ok(waiting.delete(requestId), `${requestId} did not wait`);
-      assert.ok(!final.has(requestId), `${requestId} had its answer`);
+      assert.ok(waiting.delete(requestId), `${requestId} was not waiting`);
+      assert.ok(!final.has(requestId), `${requestId} was already decided`);
       final.set(requestId, 'grant');
       running.set(requestId, endpoint);
-      const there = [...running.values()].filter(at => at === endpoint);
+      const onEndpoint = [...running.values()].filter(at => at === endpoint);
       assert.ok(
-        there.length <= maxConcurrency,
-        `${there.length} at ${endpoint}`,
+        onEndpoint.length <= maxConcurrency,
+        `${onEndpoint.length} at ${endpoint}`,
       );
       if (requests.get(requestId)!.workClass === 'batch') {
-        const questions = [...waiting].filter(
+        const onlineIds = [...waiting].filter(
           id => requests.get(id)!.workClass === 'online',
         );
-        assert.deepEqual(questions, [], 'batch was granted before a question');
+        assert.deepEqual(
+          onlineIds,
+          [],
+          'batch item granted before an online request',
+        );
       }
     },
     refuse({requestId, retryAfterMs}) {
-      assert.ok(waiting.delete(requestId), `${requestId} did not wait`);
-      assert.ok(!final.has(requestId), `${requestId} had its answer`);
+      assert.ok(waiting.delete(requestId), `${requestId} was not waiting`);
+      assert.ok(!final.has(requestId), `${requestId} was already decided`);
       assert.ok(retryAfterMs > 0);
       final.set(requestId, 'refuse');
     },
     yield({requestId}) {
       assert.equal(requests.get(requestId)?.workClass, 'batch');
-      assert.ok(running.has(requestId), `${requestId} does not run`);
-      assert.ok(!yielding.has(requestId), `${requestId} was told twice`);
+      assert.ok(running.has(requestId), `${requestId} is not running`);
+      assert.ok(
+        !yielding.has(requestId),
+        `${requestId} was ordered to yield twice`,
+      );
       yielding.add(requestId);
     },
   };
 
   function apply(actions: readonly SchedulerAction[]) {
-    // A question and the items before it may come in one list, in order.
+    // One list may grant an online request and batch items; its order matters.
     for (const action of actions) handlers[action.kind](action as never);
   }
 
@@ -174,7 +181,7 @@
 };
 
 describe('the pool scheduler', () => {
-  it('keeps its promises in any history', () => {
+  it('keeps its guarantees in any history', () => {
     fc.assert(
       fc.property(
         fc.array(stepArbitrary, {maxLength: 150}),
@@ -182,8 +189,9 @@
         (history, limit) => {
           const checked = createCheckedScheduler(3, limit);
           for (const step of history) steps[step.kind](checked, step as never);
-          // All that runs ends and all deadlines pass: each has its answer.
-          for (let turn = 0; turn < 40; turn++) {
+          // All running requests end and all deadlines pass, so every waiting
+          // request must have been granted or refused.
+          for (let round = 0; round < 40; round++) {
             for (const id of [...checked.running.keys()]) {
               checked.release(id, ANSWERED);
             }
@@ -196,15 +204,15 @@
     );
   });
 
-  it('grants a submitted question at once when a slot is free', () => {
+  it('grants an online request immediately when a slot is free', () => {
     const checked = createCheckedScheduler(2, 2);
     const id = checked.submit({});
     assert.equal(checked.final.get(id), 'grant');
   });
 
-  // A caller hangs up while its request waits. A slot then becomes free. The
-  // request must not be sent: its answer would go to nobody.
-  it('grants nothing to a request that was cancelled', () => {
+  // A caller disconnects while its request waits, and then a slot becomes free.
+  // Guards against sending a request whose answer nobody receives.
+  it('does not grant a cancelled request', () => {
     const checked = createCheckedScheduler(1, 1);
     const first = checked.submit({});
     const second = checked.submit({});
@@ -214,9 +222,10 @@
     assert.equal(checked.running.size, 0);
   });
 
-  // Two accounts share a saturated pool; one has ten times as much waiting.
-  // The other's question, submitted last, gets one of the next two slots.
-  it('starves no account behind another one', () => {
+  // Guards against starvation: two accounts share a saturated pool, and one
+  // submits 20 requests first. The other account's only request, submitted last, must get
+  // one of the next two slots.
+  it('does not let one account starve another', () => {
     const checked = createCheckedScheduler(1, 2);
     for (let index = 0; index < 20; index++) {
       checked.submit({account: 'large', deadline: 60_000});
@@ -229,9 +238,9 @@
     assert.equal(checked.final.get(small), 'grant');
   });
 
-  // The deadline of a waiting question passes. It is answered at that moment
-  // with a time to come back, not when some later event happens to look.
-  it('refuses what waits past its deadline', () => {
+  // Guards against a caller that waits past its deadline because the request is
+  // only refused at some later event.
+  it('refuses a waiting request at its deadline', () => {
     const checked = createCheckedScheduler(1, 1);
     checked.submit({deadline: 60_000});
     const late = checked.submit({deadline: 400});
@@ -241,21 +250,21 @@
     assert.equal(checked.final.get(late), 'refuse');
   });
 
-  it('tells batch items to make way when questions find no slot', () => {
+  it('orders batch items to yield when online requests find no slot', () => {
     const checked = createCheckedScheduler(1, 4);
     for (let index = 0; index < 4; index++) {
       checked.submit({workClass: 'batch'});
       checked.advance(500);
     }
-    assert.equal(checked.running.size, 3, 'one slot stays free');
-    const questions = [checked.submit({}), checked.submit({})];
+    assert.equal(checked.running.size, 3, 'one slot is kept free');
+    const onlineIds = [checked.submit({}), checked.submit({})];
     checked.advance(20);
     for (const id of [...checked.running.keys()].slice(0, 2)) {
       checked.release(id, {kind: 'yielded', tokens: 3});
     }
     checked.advance(200);
     assert.deepEqual(
-      questions.map(id => checked.final.get(id)),
+      onlineIds.map(id => checked.final.get(id)),
       ['grant', 'grant'],
     );
   });
--- a/src/decisions/pool_scheduler.ts
+++ b/src/decisions/pool_scheduler.ts
@@ -1,21 +1,22 @@
 /**
- * Decides which request of a pool runs where and when. The dispatcher of a
- * pool feeds it what happens and carries out the actions it returns; plays
- * drive the same code on virtual time.
+ * Decides which request of a pool runs on which endpoint and when. The pool's
+ * dispatcher reports events to it and carries out the actions it returns.
+ * Simulations run the same code on virtual time.
  *
- * Pattern of load: online bursts and long batch work on endpoints that know no
- * priority and report their load late. Without one place that sees every
- * request and every slot, batch work sits in the engines when a burst comes.
+ * Load pattern: online bursts beside long batch work, on endpoints that have no
+ * priorities and report their load late. Without one scheduler that sees every
+ * request and every slot of a pool, batch work occupies the engines when a burst
+ * arrives.
  *
- * This module only puts the decisions together; each has a module of its own:
- * admission, fair_queue, endpoint_choice, batch_turns, endpoint_health.
+ * This module only combines the decisions. Each has a module of its own:
+ * admission, fair_queue, endpoint_choice, batch_scheduler, endpoint_health.
  */
-import {createBatchTurns} from './batch_turns.js';
+import {createBatchScheduler} from './batch_scheduler.js';
 import {
   computeRetryAfter,
   createDrainRate,
   decideAdmission,
-  isHopeless,
+  isDeadlineUnreachable,
 } from './admission.js';
 import {
   chooseForOnline,
@@ -45,46 +46,52 @@
 import {createSlotLedger} from './slot_ledger.js';
 import {createWaitingQueues} from './waiting_queues.js';
 
-/** Actions come back in the order in which they must be carried out. */
+/** Actions are returned in the order in which they must be carried out. */
 export interface PoolScheduler {
-  /** Replaces the endpoints that take new work. */
+  /** Replaces the endpoints that accept new work. */
   setEndpoints(
     endpoints: readonly EndpointDescription[],
     now: number,
   ): SchedulerAction[];
-  /** Replaces limits when the service document changes. */
+  /** Replaces the limits after a change of the service document. */
   setLimits(limits: PoolLimits, now: number): SchedulerAction[];
-  /** A request asks for a slot; one that waits already is not added twice. */
+  /** Adds a request that needs a slot; idempotent while it waits or runs. */
   submit(request: ScheduledRequest, now: number): SchedulerAction[];
-  /** A waiting request's caller is gone. */
+  /** Removes a waiting request whose caller has disconnected. */
   cancel(requestId: string, now: number): SchedulerAction[];
-  /** A granted request has ended. Unknown ids are ignored. */
+  /** Frees the slot of a granted request that ended; unknown ids are ignored. */
   release(
     requestId: string,
     outcome: SchedulerOutcome,
     now: number,
   ): SchedulerAction[];
   /**
-   * The first byte of a granted request came `firstByteMs` after it was sent.
-   * Optional: without it, the same is learned when the request ends.
+   * Records that the first byte of a granted request arrived `firstByteMs`
+   * after it was sent. Optional: `release` reports the same time later.
    */
   noteFirstByte(requestId: string, firstByteMs: number, now: number): void;
-  /** A request that another dispatcher granted runs here: count its slot. */
+  /** Counts the slot of a running request that another dispatcher granted. */
   adopt(request: ScheduledRequest, endpoint: string, now: number): void;
-  /** An endpoint's own report of its load; it lags. */
+  /** Records an endpoint's own load report, which lags behind its real load. */
   noteLoad(endpoint: string, report: LoadReport, now: number): void;
-  /** An endpoint's cache stored or dropped a prefix; late and with gaps. */
+  /**
+   * Records that an endpoint's cache stored or evicted a prefix. Events arrive
+   * late, and some are lost.
+   */
   noteCacheEvent(endpoint: string, event: CacheEvent, now: number): void;
-  /** Time has passed: expire, refuse, probe, grant. Call each 20 ms or so. */
+  /**
+   * Makes the decisions that depend on time: expires, refuses, probes, grants.
+   * Call it about every 20 ms.
+   */
   decide(now: number): SchedulerAction[];
-  /** What was learned of the pool's latency, for the next dispatcher. */
+  /** Returns the learned latency of the pool for the next dispatcher. */
   exportLatency(): LatencySnapshot | undefined;
   importLatency(snapshot: LatencySnapshot): void;
-  /** State for dumps, without secrets. */
+  /** Returns the state for dumps, without secrets. */
   describe(now: number): object;
 }
 
-/** Starts without endpoints. */
+/** Creates a scheduler without endpoints. */
 export function createPoolScheduler(
   initial: PoolLimits,
   mechanisms: Readonly<Mechanisms> = ALL_MECHANISMS,
@@ -92,11 +99,11 @@
   const queues = createWaitingQueues(mechanisms);
   const latency = createLatencyModel();
   const context: ChoiceContext = {latency, limits: initial, mechanisms};
-  const drain = createDrainRate();
+  const drainRate = createDrainRate();
   let actions: SchedulerAction[] = [];
   const counts = {granted: 0, refused: 0, yielded: 0};
   const ledger = createSlotLedger(latency, mechanisms);
-  const turns = createBatchTurns({
+  const batchScheduler = createBatchScheduler({
     context,
     queues,
     estimateWork,
@@ -111,7 +118,7 @@
     );
   }
 
-  /** From grant to the end of the answer; of the prompt the least. */
+  /** Lower bound of the time from grant to end: the prompt counts as cached. */
   function estimateOwnTime(request: ScheduledRequest): number {
     return (
       latency.estimateFirstByte(0) +
@@ -173,75 +180,84 @@
 
   function isTooLate(request: ScheduledRequest, now: number): boolean {
     if (!mechanisms.admission) return false;
-    return isHopeless(estimateOwnTime(request), request.deadline, now);
+    return isDeadlineUnreachable(
+      estimateOwnTime(request),
+      request.deadline,
+      now,
+    );
   }
 
-  /** Grants in fair order; an account whose head must wait is passed over. */
+  /** Grants in fair order; skips accounts whose next request must wait. */
   function grantOnline(
     open: readonly EndpointTracker[],
     now: number,
     newId?: string,
   ) {
     queues.moveOverdue(request => isOverdueNow(request, now), estimateWork);
-    grantFrom(queues.online, open, now, newId);
+    grantFromQueue(queues.online, open, now, newId);
     if (queues.online.count() === 0) {
-      grantFrom(queues.overdue, open, now, newId);
+      grantFromQueue(queues.overdue, open, now, newId);
     }
-    if (queues.countOnline() === 0) drain.reset();
+    if (queues.countOnline() === 0) drainRate.reset();
   }
 
-  function grantFrom(
+  function grantFromQueue(
     queue: FairQueue,
     open: readonly EndpointTracker[],
     now: number,
     newId?: string,
   ) {
-    const passed = new Set<string>();
+    const skipped = new Set<string>();
     for (;;) {
-      const request = queue.peek(passed);
+      const request = queue.peek(skipped);
       if (!request) break;
       if (request.id !== newId && isTooLate(request, now)) {
         queue.remove(request.id);
         refuse(
           request.id,
           'deadline',
-          drain.estimateWait(queues.countOnline()),
+          drainRate.estimateWait(queues.countOnline()),
         );
         continue;
       }
       const candidates = selectCandidates(open, request);
       const tracker = chooseForOnline(candidates, request, context, now);
       if (!tracker) {
-        // Only a request that avoids endpoints may wait where others go on.
-        if (request.avoid.length === 0 || passed.has(request.account)) break;
-        passed.add(request.account);
+        // A request that avoids endpoints may wait while others can start. For
+        // any other request, no endpoint has room and nothing else can start.
+        if (request.avoid.length === 0 || skipped.has(request.account)) break;
+        skipped.add(request.account);
         continue;
       }
       grant(request, tracker, now);
-      drain.note(now);
+      drainRate.note(now);
     }
   }
 
-  /** Does all that is due and hands over the actions. */
-  function decideNext(now: number, newId?: string): SchedulerAction[] {
+  /** Makes all decisions that are due and returns the collected actions. */
+  function decideDue(now: number, newId?: string): SchedulerAction[] {
     refuseExpired(now);
     const open = ledger.listOpen(now);
     grantOnline(open, now, newId);
-    turns.makeRoom(open, now);
-    turns.startItems(open, now);
-    const settled = actions;
+    batchScheduler.preemptItems(open, now);
+    batchScheduler.startItems(open, now);
+    const collected = actions;
     actions = [];
-    return settled;
+    return collected;
   }
 
-  function checkOnline(request: ScheduledRequest, now: number): boolean {
-    turns.noteQuestion(request, now);
+  function checkOnlineAdmission(
+    request: ScheduledRequest,
+    now: number,
+  ): boolean {
+    batchScheduler.noteOnlineRequest(request, now);
     if (!mechanisms.admission) return true;
     const position = queues.online.computePosition(
       request.account,
       request.weight,
     );
-    const wait = queues.online.count() === 0 ? 0 : drain.estimateWait(position);
+    const wait =
+      queues.online.count() === 0 ? 0 : drainRate.estimateWait(position);
     const own = estimateOwnTime(request);
     const retryAfter =
       wait === 0 ? undefined : decideAdmission(wait, own, request, now);
@@ -257,37 +273,37 @@
       return false;
     }
     if (waiting >= MAX_WAITING) {
-      refuse(request.id, 'overloaded', drain.estimateWait(waiting));
+      refuse(request.id, 'overloaded', drainRate.estimateWait(waiting));
       return false;
     }
-    return request.workClass === 'batch' || checkOnline(request, now);
+    return request.workClass === 'batch' || checkOnlineAdmission(request, now);
   }
 
   return {
     setEndpoints(next, now) {
       ledger.setEndpoints(next);
-      return decideNext(now);
+      return decideDue(now);
     },
     setLimits(next, now) {
       context.limits = next;
-      return decideNext(now);
+      return decideDue(now);
     },
     submit(request, now) {
       if (queues.has(request) || ledger.findHolder(request.id)) {
-        return decideNext(now);
+        return decideDue(now);
       }
       if (checkAdmission(request, now)) {
         queues[request.workClass].push(request, estimateWork(request));
       }
-      return decideNext(now, request.id);
+      return decideDue(now, request.id);
     },
     cancel(requestId, now) {
       queues.remove(requestId);
-      return decideNext(now);
+      return decideDue(now);
     },
     release(requestId, outcome, now) {
       ledger.release(requestId, outcome, now);
-      return decideNext(now);
+      return decideDue(now);
     },
     adopt(request, endpoint, now) {
       if (ledger.findHolder(request.id)) return;
@@ -306,7 +322,7 @@
     },
     decide(now) {
       ledger.checkProgress(now);
-      return decideNext(now);
+      return decideDue(now);
     },
     exportLatency: () => latency.exportSnapshot(),
     importLatency: snapshot => latency.importSnapshot(snapshot),
@@ -315,7 +331,7 @@
       counts: {...counts},
       waiting: queues.describe(),
       latency: latency.describe(),
-      onlineRate: turns.getQuestionRate(now) * 1000,
+      onlineRate: batchScheduler.getOnlineRate(now) * 1000,
       endpoints: ledger.describe(now),
     }),
   };
--- a/src/decisions/prefill_queue.test.ts
+++ b/src/decisions/prefill_queue.test.ts
@@ -1,14 +1,14 @@
-/** What an engine probably still has to prefill. */
+/** Tests the estimate of an engine's remaining prefill work. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createPrefillQueue} from './prefill_queue.js';
 
-/** A first byte takes 20 ms beside the prefill; they overlap with the next. */
-const WORK = {aloneMs: 60, prefillMs: 40};
+/** 20 ms of the first-byte time are not prefill and overlap with the next prompt. */
+const WORK = {idleFirstByteMs: 60, prefillMs: 40};
 const ONLINE = 'online' as const;
 
 describe('the prefill queue', () => {
-  it('ends each prompt after those before it', () => {
+  it('estimates the end of each prompt after those before it', () => {
     const queue = createPrefillQueue();
     assert.equal(queue.push({id: 'a', workClass: ONLINE}, WORK, 0), 60);
     assert.equal(queue.push({id: 'b', workClass: 'batch'}, WORK, 0), 100);
@@ -17,16 +17,16 @@
     assert.equal(queue.estimateBacklog(100), 0);
   });
 
-  // Batch work left slots empty: each item's first byte took 60 ms of which the
-  // engine worked none, and the next item waited for it.
-  it('is empty when a first byte takes long but prefill nothing', () => {
+  // Guards against batch work that leaves slots empty: each item's first byte took
+  // 60 ms in which the engine did not prefill, and the next item waited for it.
+  it('is empty if the first byte takes long but the prefill takes no time', () => {
     const queue = createPrefillQueue();
-    const short = {aloneMs: 60, prefillMs: 0};
+    const short = {idleFirstByteMs: 60, prefillMs: 0};
     queue.push({id: 'a', workClass: 'batch'}, short, 0);
     assert.equal(queue.estimateBacklog(0), 0);
   });
 
-  it('moves those behind when a first byte comes late', () => {
+  it('delays the prompts behind a late first byte', () => {
     const queue = createPrefillQueue();
     queue.push({id: 'a', workClass: ONLINE}, WORK, 0);
     queue.push({id: 'b', workClass: ONLINE}, WORK, 0);
@@ -34,10 +34,10 @@
     assert.equal(queue.estimateBacklog(90), 20);
   });
 
-  // An engine turned slow. Its prompts stay unanswered past their predicted
-  // end. Without first bytes the queue would count as empty and the next
-  // question would be sent there as to an idle engine.
-  it('keeps what is overdue once first bytes are reported', () => {
+  // Guards against sending requests to an engine that became slow: its prompts
+  // are unanswered past their predicted end, and a queue that ignored the missing
+  // first bytes would count as empty, like that of an idle engine.
+  it('keeps overdue prompts once first bytes are reported', () => {
     const queue = createPrefillQueue();
     queue.push({id: 'seen', workClass: ONLINE}, WORK, 0);
     queue.remove('seen', 'first-byte', 60);
@@ -47,7 +47,7 @@
     assert.ok(queue.estimateBacklog(400) > 90 - 20);
   });
 
-  it('forgets what was stopped', () => {
+  it('removes stopped prompts', () => {
     const queue = createPrefillQueue();
     queue.push({id: 'a', workClass: 'batch'}, WORK, 0);
     queue.remove('a', 'stopped', 10);
--- a/src/decisions/prefill_queue.ts
+++ b/src/decisions/prefill_queue.ts
@@ -1,69 +1,70 @@
 /**
- * The prefill queue of one engine, as far as it can be told from outside:
- * engines prefill in order of arrival, so each slot's end follows from those
- * before it. First bytes that come back correct it.
+ * Estimates the prefill queue of one engine from outside. Engines prefill in order
+ * of arrival, so the end of each prefill follows from those before it. Reported
+ * first bytes correct the estimate.
  *
- * Pattern of load: long prompts among short ones, on engines that report their
- * load seconds late. Without this queue a question is sent behind a long
- * prompt that the last report did not show.
+ * Load pattern: long prompts among short ones, on engines that report their load
+ * seconds late. Without this estimate, a request is sent behind a long prompt that
+ * the last report did not show.
  *
- * Where holders report first bytes (they may not), a slot whose first byte is
- * overdue still stands in the queue: by half of what it is overdue, after
- * REPORT_SLACK_MS in which the report is under way.
+ * Holders of slots may report first bytes. If they do, a prompt whose first byte
+ * is overdue stays in the queue: its estimated end moves to half of the overdue
+ * time from now. The first REPORT_SLACK_MS do not count as overdue, since the
+ * report may be on its way.
  */
 import {REPORT_SLACK_MS} from './scheduler_constants.js';
 import type {WorkClass} from './scheduler_types.js';
 
-/** One prompt sent and not known to be prefilled. */
+/** A prompt that was sent and is not known to be prefilled. */
 export interface PendingPrefill {
   id: string;
   workClass: WorkClass;
   sentAt: number;
-  /** When its first byte probably comes. */
+  /** Estimated time of its first byte. */
   endsAt: number;
-  /** How much earlier the engine is free for the next prompt. */
+  /** Time before the first byte at which the engine is free for the next prompt. */
   overlapMs: number;
 }
 
 /**
- * What is probably still to be prefilled. What a first byte takes beside its
- * prompt's prefill (the way there and back, a step of the batch) overlaps with
- * the next prompt's; counted as work of the engine, it let one batch item in
- * each such time start on an endpoint, and slots stood empty.
+ * The prompts that are probably not prefilled yet. The time to a first byte also
+ * contains a network round trip and a batch step, which overlap with the next
+ * prompt's prefill. When this part was counted as engine work, an endpoint started
+ * only one batch item in each such period, and slots stayed empty.
  */
 export interface PrefillQueue {
-  /** Returns when its prefill probably ends. */
+  /** Adds a prompt and returns the estimated time of its first byte. */
   push(
     prompt: {id: string; workClass: WorkClass},
-    work: {aloneMs: number; prefillMs: number},
+    work: {idleFirstByteMs: number; prefillMs: number},
     now: number,
   ): number;
-  /** Its first byte came, or it was stopped before. */
+  /** Removes a prompt after its first byte, or because it was stopped. */
   remove(id: string, reason: 'first-byte' | 'stopped', now: number): void;
-  /** Time until the queue is probably empty. */
+  /** Estimated time until the queue is empty. */
   estimateBacklog(now: number): number;
-  /** Whether a batch item is probably in it. */
+  /** Whether a batch item is estimated to be in the queue. */
   hasBatch(now: number): boolean;
-  /** The oldest prompt whose first byte is overdue, if first bytes are known. */
+  /** Returns the oldest prompt with an overdue first byte, if they are reported. */
   findOverdue(now: number): PendingPrefill | undefined;
 }
 
-/** Starts empty. */
+/** Creates an empty queue. */
 export function createPrefillQueue(): PrefillQueue {
   const pending = new Map<string, PendingPrefill>();
-  let hasReports = false;
+  let hasFirstByteReports = false;
 
-  /** Without reports a prompt leaves the queue when its time has passed. */
-  function removePast(now: number) {
-    if (hasReports) return;
+  /** Without reports, a prompt leaves the queue at its estimated end. */
+  function removeFinished(now: number) {
+    if (hasFirstByteReports) return;
     for (const [id, {endsAt}] of pending) {
       if (endsAt > now) break;
       pending.delete(id);
     }
   }
 
-  /** Those behind move by as much as this one came sooner or later. */
-  function updateBehind(removed: PendingPrefill, now: number) {
+  /** Shifts the prompts behind by the deviation of this one from its estimate. */
+  function updateFollowing(removed: PendingPrefill, now: number) {
     const shift = now - removed.endsAt;
     for (const each of pending.values()) {
       if (each.sentAt < removed.sentAt) continue;
@@ -72,34 +73,34 @@
   }
 
   function estimateEnd({endsAt}: PendingPrefill, now: number): number {
-    if (!hasReports) return endsAt;
+    if (!hasFirstByteReports) return endsAt;
     const overdue = now - endsAt - REPORT_SLACK_MS;
     return overdue > 0 ? now + overdue / 2 : endsAt;
   }
 
   return {
-    push({id, workClass}, {aloneMs, prefillMs}, now) {
-      removePast(now);
-      let endsAt = now + aloneMs;
+    push({id, workClass}, {idleFirstByteMs, prefillMs}, now) {
+      removeFinished(now);
+      let endsAt = now + idleFirstByteMs;
       for (const each of pending.values()) {
         endsAt = Math.max(endsAt, estimateEnd(each, now) + prefillMs);
       }
-      const overlapMs = Math.max(0, aloneMs - prefillMs);
+      const overlapMs = Math.max(0, idleFirstByteMs - prefillMs);
       pending.set(id, {id, workClass, sentAt: now, endsAt, overlapMs});
       return endsAt;
     },
     remove(id, reason, now) {
       const removed = pending.get(id);
-      if (reason === 'first-byte') hasReports = true;
+      if (reason === 'first-byte') hasFirstByteReports = true;
       if (!removed) return;
       pending.delete(id);
-      // One that was stopped leaves at once; its end was yet to come.
+      // A stopped prompt frees the engine early only if its end was still ahead.
       if (reason === 'first-byte' || removed.endsAt > now) {
-        updateBehind(removed, now);
+        updateFollowing(removed, now);
       }
     },
     estimateBacklog(now) {
-      removePast(now);
+      removeFinished(now);
       let endsAt = now;
       for (const each of pending.values()) {
         endsAt = Math.max(endsAt, estimateEnd(each, now) - each.overlapMs);
@@ -107,7 +108,7 @@
       return endsAt - now;
     },
     hasBatch(now) {
-      removePast(now);
+      removeFinished(now);
       for (const each of pending.values()) {
         if (each.workClass === 'batch' && estimateEnd(each, now) > now) {
           return true;
@@ -116,7 +117,7 @@
       return false;
     },
     findOverdue(now) {
-      if (!hasReports) return undefined;
+      if (!hasFirstByteReports) return undefined;
       for (const each of pending.values()) {
         if (each.endsAt + REPORT_SLACK_MS < now) return each;
       }
--- a/src/decisions/prefix_map.ts
+++ b/src/decisions/prefix_map.ts
@@ -1,39 +1,40 @@
 /**
- * Which prompt prefixes an endpoint probably has in its cache.
+ * Estimates which prompt prefixes an endpoint has in its cache.
  *
- * Pattern of load: a few hot prefixes (templates of questions). Sent anywhere,
- * each endpoint prefills each template anew and pushes others out; remembered,
- * a question goes where its template is, unless that endpoint is busier than
- * the prefill would cost elsewhere (endpoint_choice weighs the two).
+ * Load pattern: a few hot prefixes, such as prompt templates. If requests are
+ * sent to any endpoint, each endpoint prefills each template again and evicts
+ * others. With this map a request goes to the endpoint that has its template,
+ * unless waiting there costs more than prefilling elsewhere (endpoint_choice
+ * compares the two).
  *
- * What was sent counts as stored, since the engine's events come late. Events
- * correct it. A gap in their numbers means that evictions were missed: what has
- * not been used for PREFIX_DOUBT_MS is then forgotten, since least recently
- * used is what engines evict.
+ * Prefixes of sent prompts count as stored, since the engine's cache events come
+ * late. The events correct this. A gap in their sequence numbers means that
+ * evictions were missed. Prefixes not used for PREFIX_STALE_MS then count as
+ * evicted, since engines evict the least recently used ones.
  */
 import {LRUCache} from 'lru-cache';
 import {
-  MAX_BLOCKS_NOTED,
+  MAX_TRACKED_BLOCKS,
   MAX_PREFIXES,
-  PREFIX_DOUBT_MS,
+  PREFIX_STALE_MS,
 } from './scheduler_constants.js';
 import type {CacheEvent} from './scheduler_types.js';
 
-/** The cache of one endpoint as far as it is known. */
+/** The estimated prefix cache of one endpoint. */
 export interface PrefixMap {
-  /** Share of a prompt that is cached, 0 to 1, by its leading blocks. */
+  /** Estimates the share of a prompt that is cached, 0 to 1, by leading blocks. */
   estimateCachedShare(prefixHashes: readonly string[], now: number): number;
-  /** A prompt was sent there. */
+  /** Records that a prompt was sent to the endpoint. */
   noteSent(prefixHashes: readonly string[], now: number): void;
   noteEvent(event: CacheEvent, now: number): void;
   count(): number;
 }
 
-/** Starts knowing nothing. */
+/** Creates an empty map. */
 export function createPrefixMap(): PrefixMap {
   const usedAt = new LRUCache<string, number>({max: MAX_PREFIXES});
   let lastSequence: number | undefined;
-  let doubtBefore = -Infinity;
+  let staleBefore = -Infinity;
 
   const handlers: Record<
     CacheEvent['kind'],
@@ -44,27 +45,30 @@
     cleared: () => usedAt.clear(),
   };
 
-  function isTrusted(hash: string): boolean {
+  function isLikelyCached(hash: string): boolean {
     const at = usedAt.peek(hash);
-    return at !== undefined && at >= doubtBefore;
+    return at !== undefined && at >= staleBefore;
   }
 
   return {
     estimateCachedShare(prefixHashes) {
       let blocks = 0;
-      while (blocks < prefixHashes.length && isTrusted(prefixHashes[blocks])) {
+      while (
+        blocks < prefixHashes.length &&
+        isLikelyCached(prefixHashes[blocks])
+      ) {
         blocks++;
       }
       return prefixHashes.length === 0 ? 0 : blocks / prefixHashes.length;
     },
     noteSent(prefixHashes, now) {
-      for (const hash of prefixHashes.slice(0, MAX_BLOCKS_NOTED)) {
+      for (const hash of prefixHashes.slice(0, MAX_TRACKED_BLOCKS)) {
         usedAt.set(hash, now);
       }
     },
     noteEvent({sequence, kind, prefixHash}, now) {
       const isGap = lastSequence !== undefined && sequence > lastSequence + 1;
-      if (isGap) doubtBefore = now - PREFIX_DOUBT_MS;
+      if (isGap) staleBefore = now - PREFIX_STALE_MS;
       lastSequence = Math.max(sequence, lastSequence ?? sequence);
       handlers[kind](prefixHash, now);
     },
--- a/src/decisions/scheduler_constants.ts
+++ b/src/decisions/scheduler_constants.ts
@@ -1,23 +1,25 @@
 /**
- * Thresholds of the pool scheduler. Times in ms unless named otherwise. Each
- * module's header says what its thresholds guard; docs/design/dispatch.md has
- * the measurements that chose them.
+ * Thresholds of the pool scheduler. Times are in ms unless the name says
+ * otherwise. The header of each module says what its thresholds protect against.
  */
 
-/** Requests of one class waiting in one pool, at the most: bounds memory. */
+/** Maximum number of waiting requests of one class in one pool; bounds memory. */
 export const MAX_WAITING = 20_000;
 
-/** Share of the time to its deadline that a request may wait for a slot. */
+/** Share of the time until its deadline that a request may wait for a slot. */
 export const MAX_WAIT_SHARE = 0.4;
-/** Longest answer predicted, in mean ones: callers' limits say little. */
-export const LONGEST_ANSWER_MEANS = 2;
+/**
+ * Upper bound of the predicted answer time, as a multiple of the mean. Callers'
+ * `max_tokens` say little about the real length of an answer.
+ */
+export const MAX_ANSWER_TIME_RATIO = 2;
 
-/** Least time a refused caller is told to stay away. */
+/** Shortest retry delay returned to a refused caller. */
 export const MIN_RETRY_AFTER_MS = 500;
-/** Longest time a refused caller is told to stay away. */
+/** Longest retry delay returned to a refused caller. */
 export const MAX_RETRY_AFTER_MS = 30_000;
 
-/** Before anything was observed: a mid-range engine. */
+/** Estimates used before any observation; they describe a mid-range engine. */
 export const INITIAL_LATENCY = {
   firstByteBaseMs: 30,
   prefillPerTokenMs: 0.1,
@@ -25,103 +27,119 @@
   batchTotalMs: 4000,
 };
 
-/** Share that one observation keeps of what was known before. */
-export const REGRESSION_MEMORY = 0.995;
-/** Bound of one ratio in the pool's average. */
+/** Factor by which each new observation scales the weight of older ones. */
+export const REGRESSION_DECAY = 0.995;
+/** Upper bound of a single latency ratio in the pool's average. */
 export const MAX_POOL_RATIO = 6;
-/** An observation counts for at most this many times what was predicted. */
-export const MAX_SURPRISE = 2;
-/** Observations that the initial values count for. */
+/** Observations are clamped to this multiple of the predicted value. */
+export const MAX_DEVIATION = 2;
+/** Weight of the initial estimates, as a number of observations. */
 export const REGRESSION_PRIOR = 20;
-/** Weight of one observation in simple averages. */
+/** Weight of one observation in exponential moving averages. */
 export const AVERAGE_GAIN = 0.1;
 
-/** Prefill that may queue inside one engine; the rest waits where order rules. */
+/**
+ * Maximum prefill time queued inside one engine. The rest waits in the
+ * scheduler's queues, where it can still be reordered.
+ */
 export const MAX_PREFILL_BACKLOG_MS = 150;
-/** Between a first byte and its report here, at the most. */
+/** Longest delay between a first byte and its report to the dispatcher. */
 export const REPORT_SLACK_MS = 40;
-/** Delay that a running sequence adds to a new one's first token. */
+/** Delay that each running sequence adds to the first token of a new one. */
 export const RUNNING_COST_MS = 0.8;
-/** Engine time of one answer token among others, to share out by. */
+/** Engine time of one answer token in a batch; the unit of cost for fair shares. */
 export const ANSWER_TOKEN_WORK_MS = 1;
 
-/** Prefix blocks remembered for one endpoint. */
+/** Maximum number of prefix blocks tracked for one endpoint. */
 export const MAX_PREFIXES = 2048;
-/** Leading blocks of a prompt that are remembered. */
-export const MAX_BLOCKS_NOTED = 16;
-/** After lost cache events, prefixes unused for this long count as gone. */
-export const PREFIX_DOUBT_MS = 15_000;
+/** Number of leading blocks of a prompt that are tracked. */
+export const MAX_TRACKED_BLOCKS = 16;
+/** After lost cache events, prefixes unused for this long count as evicted. */
+export const PREFIX_STALE_MS = 15_000;
 
-/** First byte this many times later than predicted: the engine queued it. */
+/** A first byte this many times later than predicted was queued by the engine. */
 export const QUEUED_RATIO = 2.5;
-/** And this much later, so that noise on short prompts does not count. */
+/** It must also be this much later, so that noise on short prompts is ignored. */
 export const QUEUED_EXCESS_MS = 150;
-/** Times in a row that it is seen before it counts. */
-export const QUEUED_IN_A_ROW = 2;
-/** Share of the limit kept when an engine queues. */
+/** Consecutive signs of queueing before the limit is lowered. */
+export const MIN_QUEUED_SIGNS = 2;
+/** Factor applied to the limit when an engine queues requests. */
 export const LIMIT_DECREASE = 0.9;
-/** Between two decreases: the evidence of the first must have come back. */
+/**
+ * Minimum time between two decreases. Requests sent before the first decrease
+ * must have ended, so that they do not count again.
+ */
 export const LIMIT_COOLDOWN_MS = 1000;
-/** Least limit learned. */
+/** Smallest limit that can be learned. */
 export const MIN_LIMIT = 2;
 
-/** An endpoint this many times slower than predicted gets no online work. */
+/** An endpoint this many times slower than predicted is ejected. */
 export const SLOW_RATIO = 3;
-/** Observations before an endpoint may be called slow. */
+/** Minimum number of observations before an endpoint counts as slow. */
 export const SLOW_OBSERVATIONS = 5;
-/** Weight of one observation in an endpoint's slowness. */
+/** Weight of one observation in the average slowness of an endpoint. */
 export const SLOWNESS_GAIN = 0.25;
-/** Failures in a row, without an answer between, that eject an endpoint. */
+/** Consecutive failures that eject an endpoint. */
 export const FAILURES_TO_EJECT = 3;
-/** Silent requests in a row; one alone may be one broken connection. */
+/**
+ * Consecutive silent requests that eject an endpoint. A single one may be
+ * caused by one broken connection.
+ */
 export const SILENCES_TO_EJECT = 2;
-/** Expected gaps between two answers that pass before silence is suspected. */
+/** Number of expected gaps between answers before an endpoint is suspected. */
 export const SILENT_GAPS = 6;
-/** Predicted times to the first byte that pass before silence is suspected. */
+/** Multiple of the predicted first-byte time before an endpoint is suspected. */
 export const SILENT_FIRST_BYTES = 4;
-/** Added to those gaps, for reports and pauses of the network. */
+/** Added to both of these timeouts, for report delays and network pauses. */
 export const SILENT_SLACK_MS = 300;
-/** First and longest time before an ejected endpoint is probed. */
-export const FIRST_PROBE_MS = 1000;
-export const LAST_PROBE_MS = 30_000;
-/** Share of a pool that may be out at once; more is not the endpoints' fault. */
+/** Time until the first probe of an ejected endpoint. */
+export const FIRST_PROBE_DELAY_MS = 1000;
+/** Longest time between two probes of an ejected endpoint. */
+export const MAX_PROBE_DELAY_MS = 30_000;
+/**
+ * Maximum share of a pool that may be ejected at once. If more endpoints look
+ * bad, the cause is not the endpoints.
+ */
 export const MAX_EJECTED_SHARE = 1 / 3;
 
-/** A stopped item waits about so long for another slot while questions are many. */
-export const TIGHT_SLACK_MS = 2000;
-/** Pieces of an item's answer from which a run tells its pace. */
-export const MIN_PIECES_SEEN = 10;
-/** Batch items an endpoint starts with; each answer allows one more. */
-export const BATCH_FIRST_ITEMS = 4;
-/** Online demand looks back this far. */
+/** Typical wait of a stopped item for another slot under high online load. */
+export const REQUEUE_WAIT_MS = 2000;
+/** Minimum pieces of an item's answer in a run for its rate to be used. */
+export const MIN_PIECES_FOR_RATE = 10;
+/** Initial number of batch items on an endpoint; each answer allows one more. */
+export const INITIAL_BATCH_ITEMS = 4;
+/** Averaging window of online demand. */
 export const DEMAND_WINDOW_MS = 1000;
-/** From the order to make way until the slot is free, as a rule. */
+/** Typical time from a yield order until the slot is free. */
 export const YIELD_MS = 40;
-/** A slot that is not free so long after the order is not waited for. */
+/** Time after a yield order at which a slot still held is no longer waited for. */
 export const YIELD_TIMEOUT_MS = 200;
 /**
- * A waiting question is urgent when less than this is left until it must start
- * to be in time: an item makes way within YIELD_MS, and once more if its holder
- * is slow.
+ * A waiting online request is urgent if it must start within this time to be in
+ * time. An item yields within YIELD_MS; the rest covers a second yield if the
+ * first holder is slow.
  */
 export const YIELD_SLACK_MS = 150;
-/** Against a batch item taking an endpoint's last slot: a question may want it. */
+/** Cost of giving a batch item an endpoint's last slot, which an online request may need. */
 export const LAST_SLOT_COST_MS = 200;
-/** A batch item may be sent this long before the prefill queue is empty. */
-export const BATCH_LEAD_MS = 0;
-/** Share of questions with time to wait from which that time is the buffer. */
-export const PATIENT_SHARE = 0.8;
-/** Slots for each endpoint that batch work leaves free for pressing questions. */
+/** Maximum prefill backlog of an endpoint to which a batch item is sent. */
+export const MAX_BATCH_BACKLOG_MS = 0;
+/**
+ * From this share of online requests that can wait for a yield, the time that
+ * they can wait replaces free slots as the buffer.
+ */
+export const DEFERRABLE_SHARE = 0.8;
+/** Slots per endpoint that batch work leaves free for urgent online requests. */
 export const BATCH_HEADROOM = 1;
-/** Free slots for each endpoint below which items yield to pressing questions. */
-export const FREE_FLOOR = 0.25;
-/** A burst shows within this time; a yielded slot is free again within it. */
+/** Free slots per endpoint below which items yield to urgent online requests. */
+export const FREE_SLOT_FLOOR = 0.25;
+/** Window for detecting a burst; a yielded slot is free again within this time. */
 export const BURST_WINDOW_MS = 40;
-/** Times the usual rate of arrivals that make a burst. */
+/** Multiple of the usual arrival rate that counts as a burst. */
 export const BURST_RATIO = 3;
-/** Arrivals within BURST_WINDOW_MS that make a burst, at the least. */
+/** Minimum number of arrivals within BURST_WINDOW_MS that counts as a burst. */
 export const MIN_BURST_ARRIVALS = 4;
-/** No batch item starts for this long after a burst was seen. */
-export const BURST_HOLD_MS = 200;
-/** Share of endpoints that may be kept free of batch prefill, at the most. */
+/** Time after a burst in which no batch item starts. */
+export const BURST_PAUSE_MS = 200;
+/** Maximum share of endpoints that are kept free of batch prefill. */
 export const MAX_QUIET_SHARE = 0.34;
--- a/src/decisions/scheduler_fixtures.ts
+++ b/src/decisions/scheduler_fixtures.ts
@@ -1,14 +1,14 @@
-/** Values that tests of the scheduler start from. */
+/** Builders of requests and endpoints for the scheduler's tests. */
 import type {EndpointDescription, ScheduledRequest} from './scheduler_types.js';
 
-let made = 0;
+let requestCount = 0;
 
-/** A short online request of account `gate`. */
+/** Makes a short online request of account `gate`. */
 export function makeRequest(
   overrides: Partial<ScheduledRequest> = {},
 ): ScheduledRequest {
   return {
-    id: `request-${made++}`,
+    id: `request-${requestCount++}`,
     account: 'gate',
     weight: 1,
     workClass: 'online',
@@ -21,7 +21,7 @@
   };
 }
 
-/** Endpoints in four failure domains. */
+/** Makes endpoints in four failure domains. */
 export function makeEndpoints(count: number): EndpointDescription[] {
   return Array.from({length: count}, (_, index) => ({
     address: `10.0.0.${index + 1}:8000`,
--- a/src/decisions/scheduler_types.ts
+++ b/src/decisions/scheduler_types.ts
@@ -1,6 +1,6 @@
-/** What a pool's scheduler is told and what it answers. Times in ms. */
+/** Inputs and outputs of a pool's scheduler. Times are in ms. */
 
-/** Online requests go before batch items in every queue. */
+/** Online requests have priority over batch items in every queue. */
 export type WorkClass = 'online' | 'batch';
 
 /** A request that asks for a slot. */
@@ -10,40 +10,40 @@
   /** Share of a contended pool relative to other accounts. */
   weight: number;
   workClass: WorkClass;
-  /** Time after which its answer is of no use. */
+  /** Time after which its answer is of no use to the caller. */
   deadline: number;
-  /** Time by which its first byte should come; absent: no sooner than later. */
+  /** Time by which its first byte should come; absent: as soon as possible. */
   targetAt?: number;
-  /** Time by which it must have a slot: then its caller is told to come back. */
+  /** Time by which it must have a slot; otherwise its caller must retry later. */
   startBy?: number;
-  /** Time by which a batch item's result is due; absent: its deadline. */
+  /** Time by which a batch item's result is due; defaults to `deadline`. */
   dueAt?: number;
-  /** How long a batch item still takes on an endpoint; absent: not known. */
+  /** Remaining run time of a batch item on an endpoint; absent if unknown. */
   workMs?: number;
-  /** Rough sizes of prompt and answer, in tokens. */
+  /** Estimated sizes of prompt and answer, in tokens. */
   promptTokens: number;
   answerTokens: number;
-  /** Digests of the prompt's leading blocks, shortest prefix first. */
+  /** Hashes of the prompt's leading blocks, shortest prefix first. */
   prefixHashes: readonly string[];
-  /** Endpoints that failed this request before. */
+  /** Endpoints that already failed this request. */
   avoid: readonly string[];
 }
 
-/** Limits of the service document in force. */
+/** Limits from the active service document. */
 export interface PoolLimits {
-  /** Requests one endpoint runs at once, at the most. */
+  /** Maximum number of requests that one endpoint runs at once. */
   maxConcurrency: number;
 }
 
-/** An endpoint that takes new work. */
+/** An endpoint that accepts new work. */
 export interface EndpointDescription {
   address: string;
   failureDomain: string;
-  /** Requests it runs at once, where it says so itself. */
+  /** Requests it runs at once, if the endpoint reports this itself. */
   slots?: number;
 }
 
-/** An endpoint's own report; `at` is its age-corrected time of measurement. */
+/** An endpoint's own load report; `at` is when it was measured, corrected for age. */
 export interface LoadReport {
   at: number;
   running: number;
@@ -64,14 +64,14 @@
   kind:
     | 'answered'
     | 'failed'
-    /** The endpoint said that it did not run it. */
+    /** The endpoint reported that it did not run the request. */
     | 'refused'
     | 'silent'
     | 'cancelled'
     | 'yielded';
-  /** Time from sending to the first byte, when there was one. */
+  /** Time from sending to the first byte, if one was received. */
   firstByteMs?: number;
-  /** Time from sending to the end. */
+  /** Time from sending to the end of the response. */
   totalMs?: number;
   /** Tokens received. */
   tokens: number;
@@ -80,7 +80,7 @@
 /** Why a request was not given a slot. */
 export type RefusalReason = 'deadline' | 'overloaded' | 'no-endpoint';
 
-/** What the dispatcher must do. */
+/** An action that the dispatcher must carry out. */
 export type SchedulerAction =
   | {kind: 'grant'; requestId: string; endpoint: string}
   | {
@@ -89,5 +89,5 @@
       reason: RefusalReason;
       retryAfterMs: number;
     }
-  /** A running batch item must make way at once; it will be released. */
+  /** A running batch item must yield its slot at once; its release follows. */
   | {kind: 'yield'; requestId: string};
--- a/src/decisions/slot_ledger.ts
+++ b/src/decisions/slot_ledger.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints of a pool, and which requests hold their slots. An endpoint that
- * leaves keeps what runs there and gets nothing new.
+ * Tracks the endpoints of a pool and which requests hold their slots. An
+ * endpoint that leaves the pool keeps its running requests and gets no new ones.
  */
 import {isOpen} from './endpoint_choice.js';
 import {
@@ -16,26 +16,26 @@
   SchedulerOutcome,
 } from './scheduler_types.js';
 
-/** Endpoints by address, held slots by request id. */
+/** Endpoints by address and held slots by request id. */
 export interface SlotLedger {
-  /** Replaces the endpoints that take new work. */
+  /** Replaces the endpoints that accept new work. */
   setEndpoints(endpoints: readonly EndpointDescription[]): void;
   countListed(): number;
-  /** Endpoints for new work. */
+  /** Endpoints that may get new work now. */
   listOpen(now: number): EndpointTracker[];
   find(address: string): EndpointTracker | undefined;
-  /** Where a request holds a slot. */
+  /** The endpoint on which a request holds a slot. */
   findHolder(requestId: string): EndpointTracker | undefined;
   add(request: ScheduledRequest, tracker: EndpointTracker, now: number): void;
   /** Counts a slot that another dispatcher granted. */
   adopt(request: ScheduledRequest, address: string, now: number): void;
-  /** Unknown ids are ignored. */
+  /** Frees a request's slot; unknown ids are ignored. */
   release(requestId: string, outcome: SchedulerOutcome, now: number): void;
   checkProgress(now: number): void;
   describe(now: number): object[];
 }
 
-/** Starts without endpoints. */
+/** Creates a ledger without endpoints. */
 export function createSlotLedger(
   latency: LatencyModel,
   mechanisms: Readonly<Mechanisms>,
@@ -69,8 +69,8 @@
     },
     countListed: () => listed.length,
     /**
-     * When more are out than MAX_EJECTED_SHARE, the cause is not theirs, and
-     * all but the suspected take work again.
+     * If more than MAX_EJECTED_SHARE of the endpoints are closed, the cause is
+     * not the endpoints, and all of them get work.
      */
     listOpen(now) {
       if (!mechanisms.ejection) return listed;
