--- a/src/decisions/admission.ts
+++ b/src/decisions/admission.ts
@@ -1,26 +1,28 @@
 /**
- * Whether an online request can be answered in time at all.
+ * Decides whether an online request can be answered in time at all.
  *
- * Pattern of load: saturation. Without admission every request waits its whole
- * deadline to be told no, and slots go to answers that come too late to be of
- * use. With it, what cannot be in time is refused at once with a time to come
- * back, and what is let in is answered.
+ * Load pattern: saturation. Without admission control, every request waits until
+ * its deadline to be refused, and slots go to answers that come too late to be of
+ * use. With it, a request that cannot be in time is refused at once with a retry
+ * delay, and an admitted request is answered.
  *
- * The predicted wait is the request's place in fair order times the time
- * between slots that waiting requests got of late; its own time is predicted
- * from its size. While nothing waits, everything is let in. Without the answer's
- * own time, every request of a saturated account was granted just before its
- * deadline and cut off by it: 0 of 1088 answered in the play 'saturation'.
+ * The predicted wait is the position of the request in fair order, multiplied by
+ * the recent time between slots granted to waiting requests. To this comes its own
+ * run time, predicted from its size. While nothing waits, every request is
+ * admitted. Without its own run time, every request of a saturated account was
+ * granted just before its deadline and then cut off by it: 0 of 1088 were answered
+ * in the simulation 'saturation'.
  *
- * A wait of more than MAX_WAIT_SHARE of the time left is refused too: a longer
- * queue answers no more, and all later (play 'saturation': goodput 40/s at 0.6,
- * 38 at 0.4, 37 at 0.25; median first token 2.1, 1.7 and 1.2 s). What waited and
- * no longer fits is given up; what need not wait is never refused, since the
- * size of an answer is the caller's guess.
+ * A wait of more than MAX_WAIT_SHARE of the time left is refused as well, since a
+ * longer queue only delays all answers without adding any (simulation 'saturation':
+ * goodput 40/s at 0.6, 38 at 0.4, 37 at 0.25; median first token 2.1, 1.7 and
+ * 1.2 s). A waiting request that no longer fits is given up. A request that need
+ * not wait is never refused, since the size of its answer is only the caller's
+ * estimate.
  *
- * Callers of streams leave when nothing has come for a while, well before their
- * deadline. A request that would not have its slot by `startBy` is refused on
- * arrival too: it would hold its caller for nothing.
+ * Callers of streams disconnect when nothing has arrived for a while, well before
+ * their deadline. So a request that would not have its slot by `startBy` is also
+ * refused on arrival.
  */
 import {
   AVERAGE_GAIN,
@@ -29,17 +31,17 @@
   MIN_RETRY_AFTER_MS,
 } from './scheduler_constants.js';
 
-/** How fast a queue drains. */
+/** The rate at which a queue drains. */
 export interface DrainRate {
-  /** A waiting request got a slot. */
+  /** Records that a waiting request got a slot. */
   note(now: number): void;
-  /** The queue became empty: the time until the next grant says nothing. */
+  /** Call when the queue is empty: the time until the next grant does not count. */
   reset(): void;
-  /** Expected wait at a place of the queue; 0 as long as nothing is known. */
+  /** Expected wait at a queue position, in ms; 0 while unknown. */
   estimateWait(position: number): number;
 }
 
-/** Starts knowing nothing. */
+/** Creates a drain rate without observations. */
 export function createDrainRate(): DrainRate {
   let gapMs: number | undefined;
   let lastAt: number | undefined;
@@ -60,7 +62,7 @@
   };
 }
 
-/** Undefined when it may wait, otherwise when to come back, in ms. */
+/** Returns undefined if the request may wait, otherwise the retry delay in ms. */
 export function decideAdmission(
   waitMs: number,
   ownMs: number,
@@ -77,7 +79,7 @@
   return computeRetryAfter(excess);
 }
 
-/** Whether a waiting request can no longer be answered in time. */
+/** Whether a waiting request can no longer be answered by its deadline. */
 export function isDeadlineUnreachable(
   ownMs: number,
   deadline: number,
@@ -86,7 +88,7 @@
   return now + ownMs > deadline;
 }
 
-/** A time to come back within its bounds, in whole ms. */
+/** Rounds a retry delay up to whole ms and clamps it to its bounds. */
 export function computeRetryAfter(ms: number): number {
   const bounded = Math.max(
     MIN_RETRY_AFTER_MS,
--- a/src/decisions/answer_length.test.ts
+++ b/src/decisions/answer_length.test.ts
@@ -2,8 +2,8 @@
 import {describe, it} from 'node:test';
 import {createAnswerLengths, UNKNOWN_ANSWER_TOKENS} from './answer_length.js';
 
-describe('answer length', () => {
-  it('is what answers had, not what requests allow', () => {
+describe('estimated answer length', () => {
+  it('follows real answers instead of the limits of requests', () => {
     const lengths = createAnswerLengths();
     for (let answer = 0; answer < 10; answer++) lengths.note('a', 100);
     assert.equal(lengths.estimate('a', 4096), 100);
@@ -12,7 +12,7 @@
     assert.equal(lengths.estimate('b', 4096), UNKNOWN_ANSWER_TOKENS);
   });
 
-  it('is moved little by one long answer', () => {
+  it('changes little after one long answer', () => {
     const lengths = createAnswerLengths();
     for (let answer = 0; answer < 100; answer++) lengths.note('a', 100);
     lengths.note('a', 4096);
--- a/src/decisions/answer_length.ts
+++ b/src/decisions/answer_length.ts
@@ -1,42 +1,41 @@
 /**
  * Estimates how many tokens an answer will have.
  *
- * Pattern of load: callers that name no `max_tokens`, or a generous one such as
- * 4096 for answers of a hundred tokens. Admission and endpoint choice work with
- * an answer's length. Taken at its word, such a limit makes the answer look
- * hopeless against a deadline of ten seconds as soon as anything waits (4096
- * tokens at 64 ms are 262 s), and the request is refused although it would have
- * been in time.
+ * Load pattern: callers that set no `max_tokens`, or a generous one such as 4096
+ * for answers of 100 tokens. Admission and endpoint choice depend on the length of
+ * the answer. If such a limit is taken as the length, the answer seems unable to
+ * meet a deadline of 10 s as soon as anything waits (4096 tokens at 64 ms take
+ * 262 s), and a request that would have been in time is refused.
  *
- * The estimate is the running mean of the model's answers here, at most what
- * the request allows. Each answer moves it by a fiftieth: an instance sees a few
- * requests a second, so it follows a change of use within half a minute, and
- * one answer of 4096 tokens moves a mean of 100 to 180 and no further. Before
- * the first answer it is low: too low an estimate lets a request wait that may
- * be late, too high a one refuses it for certain.
+ * The estimate is the running mean of the model's answers on this instance, at most
+ * the limit of the request. Each answer moves the mean by 1/50 of its deviation. An
+ * instance receives a few requests per second, so the mean follows a change of use
+ * within half a minute, while one answer of 4096 tokens moves a mean of 100 only to
+ * 180. Before the first answer the estimate is low: if it is too low, a request
+ * that may be late is queued; if it is too high, the request is certainly refused.
  */
 
-/** Tokens of an answer of which nothing is known. */
+/** Estimate before the first answer of a model, in tokens. */
 export const UNKNOWN_ANSWER_TOKENS = 64;
 
-/** How far one answer moves the mean. */
+/** Weight of one answer in the mean. */
 export const ANSWER_GAIN = 0.02;
 
-/** The first answers move it further: the n-th by 1/n, down to the gain. */
+/** The n-th answer has a weight of 1/n, but at least ANSWER_GAIN. */
 interface AnswerMean {
   readonly tokens: number;
   readonly answers: number;
 }
 
-/** The lengths of each model's answers. */
+/** Mean answer lengths by model. */
 export interface AnswerLengths {
-  /** `limit` is what the request allows, if it does. */
+  /** Estimates the tokens of an answer; `limit` is the request's own, if any. */
   estimate(model: string, limit: number | undefined): number;
-  /** A whole answer had so many tokens. */
+  /** Records the number of tokens of a complete answer. */
   note(model: string, tokens: number): void;
 }
 
-/** Starts without answers. */
+/** Creates an estimator without answers. */
 export function createAnswerLengths(): AnswerLengths {
   const means = new Map<string, AnswerMean>();
 
--- a/src/decisions/batch_order.test.ts
+++ b/src/decisions/batch_order.test.ts
@@ -1,7 +1,7 @@
-/** Which items go first when not all can be in time. */
+/** Tests which items go first when not all can be in time. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {isTight, sortForYield} from './batch_order.js';
+import {isNearlyLate, sortForYield} from './batch_order.js';
 import type {HeldSlot} from './endpoint_tracker.js';
 import {createPoolScheduler} from './pool_scheduler.js';
 import {REQUEUE_WAIT_MS} from './scheduler_constants.js';
@@ -27,12 +27,12 @@
 }
 
 describe('waiting items', () => {
-  // All instances were lost, and twice the work is left that fits before it is
-  // due. In order of due times each item would be done a moment too late, one
-  // after the other: people wait for every bundle instead of for half of them.
-  it('go first that can still be in time, then the others', () => {
+  // Guards against a backlog in which every item is a little late: after a loss of
+  // all instances, twice as much work is left as fits before it is due, and in
+  // order of due times each item would end just after its own.
+  it('start with those that can still be in time', () => {
     const scheduler = createPoolScheduler({maxConcurrency: 2});
-    // A question without an objective keeps one of two slots free for others.
+    // While online demand is unknown, one of the two slots is kept free for it.
     scheduler.setEndpoints(makeEndpoints(1), 0);
     const first = scheduler.submit(makeItem('running', 40_000), 0);
     assert.deepEqual(listGrants(first), ['running']);
@@ -59,13 +59,13 @@
 });
 
 describe('running items', () => {
-  it('make way first that cannot be in time, then those due last', () => {
-    const hold = (id: string, dueMs: number, grantedAt: number) =>
+  it('yield first if they cannot be in time, then by latest due time', () => {
+    const makeSlot = (id: string, dueMs: number, grantedAt: number) =>
       ({request: makeItem(id, dueMs), grantedAt}) as HeldSlot;
     const slots = [
-      hold('soon', 9000, 1000),
-      hold('lost', 5000, 4000),
-      hold('last', 30_000, 1000),
+      makeSlot('soon', 9000, 1000),
+      makeSlot('lost', 5000, 4000),
+      makeSlot('last', 30_000, 1000),
     ];
     const sorted = sortForYield(slots, WORK_MS, 4500);
     assert.deepEqual(
@@ -74,18 +74,24 @@
     );
   });
 
-  // A step of questions exceeds the slots for seconds: hundreds are late by a
-  // little whatever is done. Stopped for them, an item that was nearly in time
-  // is late as well, and they are not less late.
-  it('are tight when a stop would make them late', () => {
+  // Guards against stopping items in vain: when a step of online load exceeds the
+  // slots for seconds, hundreds of requests are a little late in any case. Stopping
+  // an item for them makes the item late and does not help them.
+  it('are nearly late when only a stop would make them late', () => {
     const now = 10_000;
-    const hold = (leftMs: number, slackMs: number) =>
+    const makeSlot = (leftMs: number, slackMs: number) =>
       ({
         request: makeItem('item', now + leftMs + slackMs, leftMs),
         grantedAt: now,
       }) as HeldSlot;
-    assert.equal(isTight(hold(3000, REQUEUE_WAIT_MS - 1), WORK_MS, now), true);
-    assert.equal(isTight(hold(3000, REQUEUE_WAIT_MS + 1), WORK_MS, now), false);
-    assert.equal(isTight(hold(3000, -1), WORK_MS, now), false);
+    assert.equal(
+      isNearlyLate(makeSlot(3000, REQUEUE_WAIT_MS - 1), WORK_MS, now),
+      true,
+    );
+    assert.equal(
+      isNearlyLate(makeSlot(3000, REQUEUE_WAIT_MS + 1), WORK_MS, now),
+      false,
+    );
+    assert.equal(isNearlyLate(makeSlot(3000, -1), WORK_MS, now), false);
   });
 });
--- a/src/decisions/batch_order.ts
+++ b/src/decisions/batch_order.ts
@@ -1,26 +1,27 @@
 /**
- * Which batch items go first, and which make way first.
+ * Decides which batch items start first, and which yield first.
  *
- * Pattern of load: more batch work than fits before it is due, after all
- * instances were lost or while endpoints are out. In order of due times alone
- * every item is served just as it becomes late: items past saving hold the
- * slots in which those behind them could have been done, and none is in time.
+ * Load pattern: more batch work than can be done before it is due, after all
+ * instances were lost or while endpoints are out of service. In order of due times
+ * alone, every item is served just as it becomes late: items that can no longer be
+ * in time hold the slots in which later ones could be, and none is in time.
  *
- * - Items that can still be in time go before those that cannot, and of them
- *   the one that is due first. The others follow as soon as none is left.
- * - Items that cannot be in time any more make way first: they lose nothing.
- *   Then those due last, which have the most time to go on. What would be late
- *   for being stopped now goes on while only late questions wait.
+ * - Items that can still be in time start before those that cannot, earliest due
+ *   time first. The others follow as soon as none of these is left.
+ * - Items that can no longer be in time yield first, since they lose nothing. Then
+ *   those with the latest due time yield, which have the most time left.
+ * - An item that would be late only because of a stop keeps its slot while all
+ *   waiting online requests are late already.
  */
 import type {HeldSlot} from './endpoint_tracker.js';
 import {REQUEUE_WAIT_MS} from './scheduler_constants.js';
 import type {ScheduledRequest} from './scheduler_types.js';
 
 /**
- * Whether an item's result would come after it is due even if it went on
- * without a stop. `meanMs`: what items take, where its holder did not say.
+ * Whether an item would miss its due time even if it ran without a stop.
+ * `meanMs` is the mean run time, used if its holder gave no `workMs`.
  */
-export function isPastSaving(
+export function isDueTimeUnreachable(
   {dueAt, workMs}: ScheduledRequest,
   meanMs: number,
   startedAt: number,
@@ -32,33 +33,33 @@
 }
 
 /**
- * Whether an item would be late for being stopped now. Such an item does not
- * make way for questions that have missed their objective already; it does for
- * those that can still be in time.
+ * Whether an item would be late only because it is stopped now. Such an item
+ * yields to online requests that can still be in time, but not to those that
+ * already missed their objective.
  */
-export function isTight(
+export function isNearlyLate(
   {request, grantedAt}: HeldSlot,
   meanMs: number,
   now: number,
 ): boolean {
   const soon = now + REQUEUE_WAIT_MS;
   return (
-    !isPastSaving(request, meanMs, grantedAt, now) &&
-    isPastSaving(request, meanMs, grantedAt + REQUEUE_WAIT_MS, soon)
+    !isDueTimeUnreachable(request, meanMs, grantedAt, now) &&
+    isDueTimeUnreachable(request, meanMs, grantedAt + REQUEUE_WAIT_MS, soon)
   );
 }
 
-/** Running items in the order in which they make way. */
+/** Sorts running items by the order in which they yield. */
 export function sortForYield(
   slots: readonly HeldSlot[],
   meanMs: number,
   now: number,
 ): HeldSlot[] {
-  const isLost = ({request, grantedAt}: HeldSlot) =>
-    isPastSaving(request, meanMs, grantedAt, now);
+  const isLate = ({request, grantedAt}: HeldSlot) =>
+    isDueTimeUnreachable(request, meanMs, grantedAt, now);
   return [...slots].sort(
     (a, b) =>
-      Number(isLost(b)) - Number(isLost(a)) ||
+      Number(isLate(b)) - Number(isLate(a)) ||
       getDueAt(b) - getDueAt(a) ||
       b.grantedAt - a.grantedAt,
   );
--- a/src/decisions/batch_pacing.test.ts
+++ b/src/decisions/batch_pacing.test.ts
@@ -1,4 +1,4 @@
-/** Which items make way for questions, and when. */
+/** Tests which items yield to online requests, and when. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {isUrgent} from './batch_pacing.js';
@@ -10,12 +10,13 @@
 const SLOTS = 4;
 const OBJECTIVE_MS = 1000;
 
-/** One endpoint whose slots are all held by items due 50, 40, 45, 30 s on. */
+/** One endpoint whose slots are held by items due after 50, 40, 45 and 30 s. */
 function createFullPool() {
   const scheduler = createPoolScheduler({maxConcurrency: SLOTS});
   scheduler.setEndpoints(makeEndpoints(1), 0);
-  // Questions that have time: nothing is kept free for others like them.
-  for (let index = 0; index < 5; index++) ask(scheduler, `past-${index}`, 0);
+  // These online requests can wait for a yield, so no slots are kept free.
+  for (let index = 0; index < 5; index++)
+    submitOnline(scheduler, `past-${index}`, 0);
   for (let index = 0; index < 5; index++) {
     scheduler.release(`past-${index}`, {kind: 'answered', tokens: 1}, 1);
   }
@@ -34,7 +35,7 @@
   return {scheduler, now};
 }
 
-function ask(scheduler: PoolScheduler, id: string, now: number) {
+function submitOnline(scheduler: PoolScheduler, id: string, now: number) {
   const deadline = now + 5000;
   const targetAt = now + OBJECTIVE_MS;
   return scheduler.submit(makeRequest({id, deadline, targetAt}), now);
@@ -47,16 +48,19 @@
 }
 
 describe('items that hold every slot', () => {
-  // A caller whose answer would be in time anyway costs a bundle nothing: the
-  // question waits for a slot that comes free by itself.
-  it('go on while a question has time to wait', () => {
+  // Guards against stopping items for a request that would be in time anyway: it
+  // can wait for a slot that becomes free by itself.
+  it('continue while an online request has time to wait', () => {
     const {scheduler, now} = createFullPool();
-    assert.deepEqual(listYields(ask(scheduler, 'question', now)), []);
+    assert.deepEqual(
+      listYields(submitOnline(scheduler, 'online-request', now)),
+      [],
+    );
   });
 
-  it('make way before it misses its objective, the one due last first', () => {
+  it('yield before the request misses its objective, latest due time first', () => {
     const {scheduler, now} = createFullPool();
-    ask(scheduler, 'question', now);
+    submitOnline(scheduler, 'online-request', now);
     const late = now + OBJECTIVE_MS - YIELD_SLACK_MS;
     assert.deepEqual(listYields(scheduler.decide(late)), ['due-50']);
     const [granted] = scheduler.release(
@@ -65,15 +69,15 @@
       late + 10,
     );
     assert.equal(granted.kind, 'grant');
-    assert.equal(granted.requestId, 'question');
+    assert.equal(granted.requestId, 'online-request');
   });
 
-  // The instance that runs an item is frozen and never hears that it must make
-  // way. Its slot counted as one about to be free, so the question waited until
-  // its caller left, although other items could have made way.
-  it('make way in turn when one does not', () => {
+  // Guards against waiting for a frozen instance, which never receives the yield
+  // order: its slot counted as about to be free, and the request waited until its
+  // caller left although other items could have yielded.
+  it('yield in turn when one of them does not', () => {
     const {scheduler, now} = createFullPool();
-    ask(scheduler, 'question', now);
+    submitOnline(scheduler, 'online-request', now);
     const late = now + OBJECTIVE_MS - YIELD_SLACK_MS;
     assert.deepEqual(listYields(scheduler.decide(late)), ['due-50']);
     assert.deepEqual(listYields(scheduler.decide(late + 20)), []);
@@ -82,8 +86,8 @@
   });
 });
 
-describe('a waiting question', () => {
-  it('is urgent when its objective leaves no time for an item to go', () => {
+describe('a waiting online request', () => {
+  it('is urgent when its objective leaves no time for an item to yield', () => {
     const firstByteMs = 80;
     const startBy = 1000 - firstByteMs - YIELD_SLACK_MS;
     assert.equal(isUrgent(1000, firstByteMs, startBy), false);
--- a/src/decisions/batch_pacing.ts
+++ b/src/decisions/batch_pacing.ts
@@ -1,28 +1,31 @@
 /**
- * Where batch items may start, and which must make way.
+ * Decides where batch items may start, and how many must yield.
  *
- * Pattern of load: batch work fills all that is idle, and idle lasts only
- * seconds; then a burst comes. Engines know no priority, so what batch holds
- * inside them is in the burst's way: its slots, its prefill, its steps.
+ * Load pattern: batch work fills all idle slots, but they are idle only for
+ * seconds until a burst arrives. Engines have no priorities, so without this module
+ * the batch work inside them blocks the burst with its slots, its prefill and its
+ * share of each step.
  *
- * - Items make way as soon as a waiting question would otherwise miss its target
- *   (YIELD_SLACK_MS). Until then it waits for a slot that comes free by itself,
- *   which under steady load one does every few ms. What is kept free besides is
- *   said in online_reserve.ts.
- * - Which items make way first is said in batch_order.ts. Stopped by age, an
- *   item could be stopped until it was late.
- * - A slot whose holder does not give it back within YIELD_TIMEOUT_MS is not
- *   waited for: its instance is frozen or cut off, and another item must go.
- * - An item starts only where the prefill queue is empty.
- * - An endpoint starts with BATCH_FIRST_ITEMS and one more for each answer: with
- *   a model that knows nothing yet, filling all slots at once would queue
- *   seconds of prefill in engines, and what comes back would teach it wrongly.
+ * - Items yield as soon as a waiting online request would otherwise miss its target
+ *   (YIELD_SLACK_MS). Before that, the request waits for a slot that becomes free
+ *   by itself, which under steady load happens every few ms. online_reserve.ts
+ *   decides what is kept free in addition.
+ * - batch_order.ts decides which items yield first. If they yielded by age, the
+ *   same item could be stopped again and again until it is late.
+ * - A slot that its holder does not free within YIELD_TIMEOUT_MS is not waited for.
+ *   Its instance is frozen or unreachable, so another item must yield.
+ * - An item starts only on an endpoint whose prefill queue is empty.
+ * - An endpoint starts with INITIAL_BATCH_ITEMS, and each answer allows one more.
+ *   Filling all slots at once while the latency model has learned nothing would
+ *   queue seconds of prefill in the engines, and the model would learn wrong values
+ *   from the delayed answers.
  *
- * Stopping batch prefill that a question was sent behind was tried and taken
- * out: over both deployments it cost 0.2 to 1% of batch throughput and moved
- * neither harm nor the time a burst was held beyond what seeds differ by.
+ * Also stopping batch prefills that an online request is queued behind was tried
+ * and removed. In both deployments it cost 0.2 to 1% of batch throughput. Neither
+ * the late online requests nor the time until a burst was served changed by more
+ * than the difference between seeds.
  */
-import {isTight, sortForYield} from './batch_order.js';
+import {isNearlyLate, sortForYield} from './batch_order.js';
 import {
   countFreeSlots,
   estimateCost,
@@ -39,8 +42,8 @@
 import type {ScheduledRequest} from './scheduler_types.js';
 
 /**
- * Whether a waiting question would miss its target by waiting much longer. One
- * without a target is as soon as possible.
+ * Whether a waiting online request would miss its target by waiting much longer.
+ * A request without a target is always urgent.
  */
 export function isUrgent(
   targetAt: number | undefined,
@@ -51,7 +54,7 @@
   return targetAt - firstByteMs - now < YIELD_SLACK_MS;
 }
 
-/** The endpoint for a batch item, or undefined when it must wait. */
+/** Chooses the endpoint for a batch item; undefined if it must wait. */
 export function chooseForBatch(
   trackers: readonly EndpointTracker[],
   request: ScheduledRequest,
@@ -74,8 +77,8 @@
   return chosen;
 }
 
-/** Slots that are free or about to be. */
-export function countRoom(
+/** Counts slots that are free or about to be freed by a yield. */
+export function countSlotsFreeSoon(
   trackers: readonly EndpointTracker[],
   context: ChoiceContext,
   now: number,
@@ -88,7 +91,7 @@
   return room;
 }
 
-/** Endpoints that can take a question as soon as a slot is free. */
+/** Selects endpoints that can take an online request once a slot is free. */
 export function selectUsable(
   trackers: readonly EndpointTracker[],
   now: number,
@@ -99,21 +102,21 @@
 }
 
 /**
- * Items to stop so that `wanted` slots are free or about to be; with `sparing`,
- * none that would be late for it.
+ * Selects the items to stop so that `wanted` slots are free or about to be. With
+ * `sparesNearlyLate`, items that a stop would make late are not selected.
  */
 export function selectSlotYields(
   trackers: readonly EndpointTracker[],
   wanted: number,
   context: ChoiceContext,
   now: number,
-  {sparing = false} = {},
+  {sparesNearlyLate = false} = {},
 ): HeldSlot[] {
-  const missing = wanted - countRoom(trackers, context, now);
+  const missing = wanted - countSlotsFreeSoon(trackers, context, now);
   if (missing <= 0) return [];
   const meanMs = context.latency.getMeanTotal('batch');
   const items = trackers
     .flatMap(tracker => tracker.listYieldable())
-    .filter(item => !sparing || !isTight(item, meanMs, now));
+    .filter(item => !sparesNearlyLate || !isNearlyLate(item, meanMs, now));
   return sortForYield(items, meanMs, now).slice(0, missing);
 }
--- a/src/decisions/batch_scheduler.ts
+++ b/src/decisions/batch_scheduler.ts
@@ -1,11 +1,12 @@
 /**
- * When batch items of a pool start, and when they stop for questions: ties
- * batch_pacing, batch_order and online_reserve to the pool's queues.
+ * Decides when the batch items of a pool start, and when they stop for online
+ * requests. It applies batch_pacing, batch_order and online_reserve to the queues
+ * of the pool.
  */
-import {isPastSaving} from './batch_order.js';
+import {isDueTimeUnreachable} from './batch_order.js';
 import {
   chooseForBatch,
-  countRoom,
+  countSlotsFreeSoon,
   isUrgent,
   selectSlotYields,
   selectUsable,
@@ -21,7 +22,7 @@
 import type {ScheduledRequest} from './scheduler_types.js';
 import type {WaitingQueues} from './waiting_queues.js';
 
-/** What the scheduler does for the turns. */
+/** State and actions of the pool scheduler that the batch scheduler uses. */
 export interface BatchSchedulerDependencies {
   context: ChoiceContext;
   queues: WaitingQueues;
@@ -34,19 +35,19 @@
   orderYields: (slots: readonly HeldSlot[], now: number) => void;
 }
 
-/** Turns of batch items among questions. */
+/** Starts and stops batch items between online requests. */
 export interface BatchScheduler {
-  /** A question came. */
+  /** Records the arrival of an online request. */
   noteOnlineRequest(request: ScheduledRequest, now: number): void;
-  /** Questions a ms. */
+  /** Returns the rate of online requests per ms. */
   getOnlineRate(now: number): number;
-  /** Stops items for questions that wait, or are about to come. */
+  /** Orders items to yield to online requests that wait or are about to arrive. */
   preemptItems(open: readonly EndpointTracker[], now: number): void;
-  /** Starts items where no question would miss the slot. */
+  /** Starts items in slots that no online request needs. */
   startItems(open: readonly EndpointTracker[], now: number): void;
 }
 
-/** Starts without questions. */
+/** Creates a batch scheduler that has seen no online requests. */
 export function createBatchScheduler({
   context,
   queues,
@@ -65,8 +66,8 @@
     return isUrgent(request.targetAt, estimateFirstByte(request), now);
   }
 
-  /** Endpoints and slots that items may still take now. */
-  function countBatchRoom(
+  /** Counts the items that may start now, by endpoints and by slots. */
+  function countStartableItems(
     open: readonly EndpointTracker[],
     request: ScheduledRequest,
     now: number,
@@ -80,28 +81,28 @@
     const reserved = mechanisms.headroom
       ? reserve.countHeadroom(open.length, now)
       : 0;
-    const spare = countRoom(open, context, now) - reserved;
+    const spare = countSlotsFreeSoon(open, context, now) - reserved;
     return Math.min(unoccupied - quiet, spare);
   }
 
-  function startFrom(
+  function startFromQueue(
     queue: FairQueue,
     open: readonly EndpointTracker[],
     now: number,
   ) {
     let request = queue.peek();
     if (!request) return;
-    let room = countBatchRoom(open, request, now);
-    const passed = new Set<string>();
-    for (; request && room > 0; request = queue.peek(passed)) {
+    let room = countStartableItems(open, request, now);
+    const skipped = new Set<string>();
+    for (; request && room > 0; request = queue.peek(skipped)) {
       const candidates = selectCandidates(open, request);
       const tracker = chooseForBatch(candidates, request, context, now);
       if (!tracker && request.avoid.length === 0) return;
-      if (passed.has(request.account)) return;
+      if (skipped.has(request.account)) return;
       if (tracker) {
         grant(request, tracker, now);
         room--;
-      } else passed.add(request.account);
+      } else skipped.add(request.account);
     }
   }
 
@@ -111,8 +112,8 @@
     getOnlineRate: now => reserve.getRate(now),
     preemptItems(open, now) {
       if (!mechanisms.slotYields) return;
-      const ahead = reserve.countAhead(open.length, now);
-      orderYields(selectSlotYields(open, ahead, context, now), now);
+      const yieldFloor = reserve.computeYieldFloor(open.length, now);
+      orderYields(selectSlotYields(open, yieldFloor, context, now), now);
       const urgent = queues.online.countWhere(each => isUrgentNow(each, now));
       const overdue = queues.overdue.count();
       if (urgent + overdue === 0) return;
@@ -120,18 +121,18 @@
       orderYields(selectSlotYields(usable, urgent, context, now), now);
       if (overdue === 0) return;
       const wanted = urgent + overdue;
-      const spared = {sparing: true};
-      orderYields(selectSlotYields(usable, wanted, context, now, spared), now);
+      const options = {sparesNearlyLate: true};
+      orderYields(selectSlotYields(usable, wanted, context, now, options), now);
     },
     startItems(open, now) {
-      if (queues.countOnline() > 0 || reserve.isHeld(now)) return;
+      if (queues.countOnline() > 0 || reserve.isBatchPaused(now)) return;
       const meanMs = latency.getMeanTotal('batch');
       queues.moveLate(
-        request => isPastSaving(request, meanMs, now, now),
+        request => isDueTimeUnreachable(request, meanMs, now, now),
         estimateWork,
       );
-      startFrom(queues.batch, open, now);
-      if (queues.batch.count() === 0) startFrom(queues.late, open, now);
+      startFromQueue(queues.batch, open, now);
+      if (queues.batch.count() === 0) startFromQueue(queues.late, open, now);
     },
   };
 }
--- a/src/decisions/fair_queue.test.ts
+++ b/src/decisions/fair_queue.test.ts
@@ -1,4 +1,4 @@
-/** The order of waiting requests. */
+/** Tests the order of waiting requests. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
@@ -11,9 +11,9 @@
 }
 
 describe('the fair queue', () => {
-  // One account sends ten times what another does. In one line the other's
-  // request would be served eleventh; by shares it is served second.
-  it('serves accounts in turn, whatever one of them sends', () => {
+  // Guards against one account that sends ten times as many requests as another:
+  // in a single queue the other's request would be served eleventh, not second.
+  it('serves accounts in turn regardless of how much one of them sends', () => {
     const queue = createFairQueue();
     for (let index = 0; index < 10; index++) {
       queue.push(makeRequest({account: 'large'}), 1);
@@ -25,7 +25,7 @@
     );
   });
 
-  it('serves by weight', () => {
+  it('serves accounts in proportion to their weights', () => {
     const queue = createFairQueue();
     for (let index = 0; index < 40; index++) {
       queue.push(makeRequest({account: 'heavy', weight: 3}), 1);
@@ -42,7 +42,7 @@
     assert.equal(queue.peek()?.id, 'sooner');
   });
 
-  it('lets no account save up turns while it sends nothing', () => {
+  it('does not let an idle account accumulate turns', () => {
     const queue = createFairQueue();
     for (let index = 0; index < 50; index++) {
       queue.push(makeRequest({account: 'steady'}), 1);
@@ -57,7 +57,7 @@
     assert.ok(share >= 5 && share <= 6, `${share} of 10`);
   });
 
-  it('hands out what is past its deadline once, and nothing else', () => {
+  it('returns each expired request exactly once and no others', () => {
     fc.assert(
       fc.property(
         fc.array(fc.integer({min: 1, max: 100}), {maxLength: 200}),
--- a/src/decisions/fair_queue.ts
+++ b/src/decisions/fair_queue.ts
@@ -1,19 +1,21 @@
 /**
- * The order in which waiting requests get slots: fair shares of client
- * accounts by weight, and within an account the earliest deadline first.
+ * Orders waiting requests: fair shares of client accounts by weight, and the
+ * earliest deadline first within an account.
  *
- * Pattern of load: one account sends several times what the others do. In one
- * queue its requests stand before everyone's, and the others' first tokens are
- * as late as its own; by shares, an account waits only behind its own work.
+ * Load pattern: one account sends several times as many requests as the others.
+ * In a single queue its requests stand before all others, and the other accounts
+ * get their first tokens as late as it does. With fair shares, an account waits
+ * only behind its own excess.
  *
- * Virtual time of an account is the work it was given divided by its weight;
- * the account with the least is next. One that comes back after a pause starts
- * at the least of those waiting, so that it cannot save up turns.
+ * The virtual time of an account is the work it was granted divided by its
+ * weight. The account with the smallest virtual time is next. An account that
+ * returns after a pause starts at the current virtual time, so that it cannot
+ * accumulate turns.
  */
 import {Heap} from 'heap-js';
 import type {ScheduledRequest} from './scheduler_types.js';
 
-/** Removed entries may outnumber live ones by this before a heap is rebuilt. */
+/** Removed entries beyond the live ones that a heap holds before it is rebuilt. */
 const SLACK = 64;
 
 interface Entry {
@@ -32,30 +34,30 @@
 
 /** Waiting requests of one work class. */
 export interface FairQueue {
-  /** `cost` is the work it asks for, in any unit common to all. */
+  /** Adds a request; `cost` is its work, in any unit common to all requests. */
   push(request: ScheduledRequest, cost: number): void;
   has(id: string): boolean;
-  /** Next in turn among accounts not in `skipped`. */
+  /** Returns the next request, leaving out accounts in `skipped`. */
   peek(skipped?: ReadonlySet<string>): ScheduledRequest | undefined;
-  /** The next request of each account that waits. */
+  /** Returns the next request of each account. */
   listHeads(): ScheduledRequest[];
-  /** The next request of one account. */
+  /** Returns the next request of one account. */
   peekOf(account: string): ScheduledRequest | undefined;
-  /** Takes a request out and charges its account for it. */
+  /** Removes a request and charges its account for the work. */
   take(id: string): ScheduledRequest | undefined;
-  /** Takes a request out without charge: it will not run. */
+  /** Removes a request that will not run; its account is not charged. */
   remove(id: string): ScheduledRequest | undefined;
-  /** Takes out those whose deadline is at or before `now`. */
+  /** Removes and returns the requests whose deadline is at or before `now`. */
   takeExpired(now: number): ScheduledRequest[];
   count(): number;
   countWhere(condition: (request: ScheduledRequest) => boolean): number;
-  /** How many requests would be served before a new one of this account. */
+  /** Estimates the queue position of a new request of this account. */
   computePosition(account: string, weight: number): number;
-  /** Requests waiting by account. */
+  /** Returns the number of waiting requests by account. */
   describe(): Record<string, number>;
 }
 
-/** By the time at which a batch item is due, else by deadline. */
+/** Compares by due time, or by deadline for requests without a due time. */
 function compareEntries(a: Entry, b: Entry): number {
   return getOrder(a) - getOrder(b) || a.order - b.order;
 }
@@ -68,7 +70,7 @@
   return a.request.deadline - b.request.deadline;
 }
 
-/** Starts empty; without shares, all accounts are one. */
+/** Creates an empty queue; without shares, all accounts are treated as one. */
 export function createFairQueue(hasShares = true): FairQueue {
   const accounts = new Map<string, AccountQueue>();
   const entries = new Map<string, Entry>();
@@ -76,24 +78,24 @@
   let order = 0;
   let virtualNow = 0;
 
-  const nameQueue = (account: string) => (hasShares ? account : '');
+  const getQueueName = (account: string) => (hasShares ? account : '');
 
-  function openAccount(request: ScheduledRequest): AccountQueue {
+  function getOrCreateAccount(request: ScheduledRequest): AccountQueue {
     const {weight} = request;
-    const account = nameQueue(request.account);
+    const account = getQueueName(request.account);
     const held = accounts.get(account);
     if (held) {
       held.weight = weight;
       return held;
     }
-    const made: AccountQueue = {
+    const created: AccountQueue = {
       weight,
       virtualTime: virtualNow,
       entries: new Heap<Entry>(compareEntries),
       size: 0,
     };
-    accounts.set(account, made);
-    return made;
+    accounts.set(account, created);
+    return created;
   }
 
   function peekEntry(queue: AccountQueue): Entry | undefined {
@@ -106,7 +108,7 @@
     if (!entry) return undefined;
     entry.removed = true;
     entries.delete(id);
-    const queue = accounts.get(nameQueue(entry.request.account))!;
+    const queue = accounts.get(getQueueName(entry.request.account))!;
     queue.size--;
     if (queue.entries.length > 2 * queue.size + SLACK) {
       queue.entries = buildHeap(queue.entries, compareEntries);
@@ -117,7 +119,7 @@
     return entry;
   }
 
-  /** Drops what is idle and behind: it would start at the present anyway. */
+  /** Removes idle accounts that would start at the current virtual time anyway. */
   function removeIdleAccounts() {
     for (const [name, queue] of accounts) {
       if (queue.size === 0 && queue.virtualTime <= virtualNow) {
@@ -128,7 +130,7 @@
 
   return {
     push(request, cost) {
-      const queue = openAccount(request);
+      const queue = getOrCreateAccount(request);
       if (queue.size === 0) {
         queue.virtualTime = Math.max(queue.virtualTime, virtualNow);
       }
@@ -152,13 +154,13 @@
         .map(queue => peekEntry(queue)?.request)
         .filter(request => request !== undefined),
     peekOf(account) {
-      const queue = accounts.get(nameQueue(account));
+      const queue = accounts.get(getQueueName(account));
       return queue && peekEntry(queue)?.request;
     },
     take(id) {
       const entry = removeEntry(id);
       if (!entry) return undefined;
-      const queue = accounts.get(nameQueue(entry.request.account))!;
+      const queue = accounts.get(getQueueName(entry.request.account))!;
       virtualNow = Math.max(virtualNow, queue.virtualTime);
       queue.virtualTime += entry.cost / queue.weight;
       if (queue.size === 0) removeIdleAccounts();
@@ -183,7 +185,7 @@
       return count;
     },
     computePosition(owner, weight) {
-      const account = nameQueue(owner);
+      const account = getQueueName(owner);
       const turns = (accounts.get(account)?.size ?? 0) + 1;
       let before = turns;
       for (const [name, queue] of accounts) {
--- a/src/decisions/item_work.test.ts
+++ b/src/decisions/item_work.test.ts
@@ -2,15 +2,15 @@
 import {describe, it} from 'node:test';
 import {createItemWork} from './item_work.js';
 
-describe('the rest of an item', () => {
-  it('is not known before an item was seen whole', () => {
+describe('the remaining time of an item', () => {
+  it('is unknown before the first complete item', () => {
     const work = createItemWork();
     assert.equal(work.estimateRest(0), undefined);
     work.noteRun(100, 2000);
     assert.equal(work.estimateRest(0), undefined);
   });
 
-  it('is what is missing of a mean item, at the pace that was seen', () => {
+  it('is the missing part of a mean item at the observed speed', () => {
     const work = createItemWork();
     work.noteRun(100, 2000);
     work.noteWhole(300);
@@ -19,7 +19,7 @@
     assert.equal(work.estimateRest(400), 0);
   });
 
-  it('is not learned from a run that was hardly begun', () => {
+  it('is not learned from a run with too few pieces', () => {
     const work = createItemWork();
     work.noteRun(100, 2000);
     work.noteWhole(300);
--- a/src/decisions/item_work.ts
+++ b/src/decisions/item_work.ts
@@ -1,27 +1,27 @@
 /**
- * How long a batch item still takes on an endpoint, learned from items that
- * ran.
+ * Estimates the remaining run time of a batch item on an endpoint, learned from
+ * items that ran.
  *
- * Pattern of load: items that were stopped for questions and go on where they
- * were. Reckoned by what whole items take, one that is nearly done looks too
- * late to be saved, and goes behind others that are.
+ * Load pattern: items that were stopped for online requests and resume where they
+ * were. Estimated by the run time of a complete item, an item that is nearly done
+ * seems too late to be in time, and goes behind items that are not.
  */
 import {AVERAGE_GAIN, MIN_PIECES_FOR_RATE} from './scheduler_constants.js';
 
-/** What was learned of items. */
+/** Learned size and speed of items. */
 export interface ItemWork {
-  /** A run brought `pieces` more of an item's answer in `ranMs`. */
+  /** Records a run that received `pieces` of an item's answer in `ranMs`. */
   noteRun(pieces: number, ranMs: number): void;
-  /** An item's whole answer has so many pieces. */
+  /** Records the number of pieces of a complete answer. */
   noteWhole(pieces: number): void;
-  /** Rest of an item of which `pieces` are at hand; undefined: not known. */
+  /** Remaining time of an item with `pieces` received, in ms; undefined if unknown. */
   estimateRest(pieces: number): number | undefined;
 }
 
-/** Starts knowing nothing. */
+/** Creates an estimator without observations. */
 export function createItemWork(): ItemWork {
   let pieceMs: number | undefined;
-  let wholePieces: number | undefined;
+  let completePieces: number | undefined;
 
   const average = (held: number | undefined, seen: number) =>
     held === undefined ? seen : held + AVERAGE_GAIN * (seen - held);
@@ -32,11 +32,12 @@
       pieceMs = average(pieceMs, ranMs / pieces);
     },
     noteWhole(pieces) {
-      wholePieces = average(wholePieces, pieces);
+      completePieces = average(completePieces, pieces);
     },
     estimateRest(pieces) {
-      if (pieceMs === undefined || wholePieces === undefined) return undefined;
-      return Math.max(0, wholePieces - pieces) * pieceMs;
+      if (pieceMs === undefined || completePieces === undefined)
+        return undefined;
+      return Math.max(0, completePieces - pieces) * pieceMs;
     },
   };
 }
--- a/src/decisions/online_demand.ts
+++ b/src/decisions/online_demand.ts
@@ -1,12 +1,12 @@
 /**
- * How many online requests arrive in the time of one batch prefill: what must
- * find a quiet endpoint.
+ * Estimates how many online requests arrive during one batch prefill. Each of
+ * them must find an endpoint that is free of batch prefill.
  *
- * Pattern of load: steady questions beside batch work. With no measure of
- * them, either every endpoint is in batch prefill when one comes, or endpoints
- * are kept quiet for questions that do not come. Mean and two standard
- * deviations of a Poisson count cover 97 in 100 moments; bursts are answered
- * by yielding.
+ * Load pattern: steady online requests beside batch work. Without an estimate,
+ * either every endpoint is in batch prefill when a request arrives, or endpoints
+ * are kept free for requests that do not come. The estimate is the mean plus two
+ * standard deviations of a Poisson count, which covers 97 in 100 moments. Bursts
+ * are served by yields instead.
  */
 import {
   BURST_RATIO,
@@ -14,31 +14,31 @@
   MIN_BURST_ARRIVALS,
 } from './scheduler_constants.js';
 
-/** Arrivals of the recent past. */
+/** The rate of recent arrivals. */
 export interface OnlineDemand {
   note(now: number): void;
-  /** Requests a ms, averaged over the window. */
+  /** Returns the requests per ms, averaged over the window. */
   getRate(now: number): number;
-  /** Arrivals within `ms` that are exceeded only rarely. */
+  /** Upper estimate of the arrivals within `ms`, exceeded only rarely. */
   estimateArrivals(ms: number, now: number): number;
 }
 
-/** Whether requests arrive several times as fast as usual. */
+/** Whether requests arrive at several times the usual rate. */
 export function isBurst(
   recent: OnlineDemand,
   usual: OnlineDemand,
   now: number,
 ): boolean {
   const rate = recent.getRate(now);
-  const isCrowd = rate * BURST_WINDOW_MS >= MIN_BURST_ARRIVALS;
-  return isCrowd && rate > BURST_RATIO * usual.getRate(now);
+  const hasEnoughArrivals = rate * BURST_WINDOW_MS >= MIN_BURST_ARRIVALS;
+  return hasEnoughArrivals && rate > BURST_RATIO * usual.getRate(now);
 }
 
 /**
- * Requests about to arrive by those of the last BURST_WINDOW_MS; twice as many
- * once that is a burst, since it has only begun when it is seen.
+ * Estimates the requests about to arrive from those of the last BURST_WINDOW_MS.
+ * In a burst the estimate doubles, since a burst is detected at its beginning.
  */
-export function estimateArriving(
+export function estimateUpcoming(
   recent: OnlineDemand,
   usual: OnlineDemand,
   now: number,
@@ -47,7 +47,7 @@
   return Math.ceil(arrived * (isBurst(recent, usual, now) ? 2 : 1));
 }
 
-/** Starts at none; `windowMs` is how far it looks back. */
+/** Creates a rate of zero; `windowMs` is the averaging window. */
 export function createOnlineDemand(windowMs: number): OnlineDemand {
   let rate = 0;
   let notedAt = 0;
--- a/src/decisions/online_reserve.test.ts
+++ b/src/decisions/online_reserve.test.ts
@@ -1,4 +1,4 @@
-/** What is kept free of batch work, by the time that questions have. */
+/** Tests the capacity kept free of batch work, by how long requests can wait. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createOnlineReserve} from './online_reserve.js';
@@ -11,62 +11,62 @@
 const ENDPOINTS = 8;
 const PREFILL_MS = 60;
 
-/** Ten questions a second for two seconds; returns the time of the last. */
+/** Records 10 requests per second for two seconds; returns the last one's time. */
 function noteSteady(
   reserve: ReturnType<typeof createOnlineReserve>,
-  isPressing: (index: number) => boolean,
+  isUrgent: (index: number) => boolean,
 ): number {
   for (let index = 0; index < 20; index++) {
-    reserve.note(isPressing(index), index * 100);
+    reserve.note(isUrgent(index), index * 100);
   }
   return 1900;
 }
 
-describe('what is kept free for questions', () => {
-  describe('that have time to wait', () => {
-    it('is what arrives while an item makes way, and nothing ahead of need', () => {
+describe('the reserve for online requests', () => {
+  describe('that can wait for a yield', () => {
+    it('covers only the requests that arrive while an item yields', () => {
       const reserve = createOnlineReserve();
       const now = noteSteady(reserve, () => false);
       const arriving = Math.round(reserve.getRate(now) * YIELD_MS);
       assert.equal(reserve.countHeadroom(ENDPOINTS, now), arriving);
-      assert.equal(reserve.countAhead(ENDPOINTS, now), 0);
+      assert.equal(reserve.computeYieldFloor(ENDPOINTS, now), 0);
       assert.equal(reserve.countQuiet(ENDPOINTS, PREFILL_MS, now), 0);
     });
 
-    it('lets items start in a burst as soon as no question waits', () => {
+    it('lets items start in a burst as soon as no request waits', () => {
       const reserve = createOnlineReserve();
       const now = noteSteady(reserve, () => false);
       for (let index = 0; index < 10; index++) reserve.note(false, now + index);
-      assert.equal(reserve.isHeld(now + 10), false);
+      assert.equal(reserve.isBatchPaused(now + 10), false);
     });
 
-    it('stays so when one in ten is pressing', () => {
+    it('stays the same when one request in ten is urgent', () => {
       const reserve = createOnlineReserve();
       const now = noteSteady(reserve, index => index % 10 === 0);
-      assert.equal(reserve.countAhead(ENDPOINTS, now), 0);
+      assert.equal(reserve.computeYieldFloor(ENDPOINTS, now), 0);
     });
   });
 
-  describe('that are late by every ms', () => {
-    it('is a share of each endpoint', () => {
+  describe('that are all urgent', () => {
+    it('contains slots of each endpoint and endpoints without batch prefill', () => {
       const reserve = createOnlineReserve();
       const now = noteSteady(reserve, () => true);
       const headroom = ENDPOINTS * BATCH_HEADROOM;
       assert.equal(reserve.countHeadroom(ENDPOINTS, now), headroom);
-      assert.ok(reserve.countAhead(ENDPOINTS, now) > 0);
+      assert.ok(reserve.computeYieldFloor(ENDPOINTS, now) > 0);
       assert.ok(reserve.countQuiet(ENDPOINTS, PREFILL_MS, now) > 0);
     });
 
-    it('lets no item start in a burst and for a while after', () => {
+    it('lets no item start during a burst and for a pause after it', () => {
       const reserve = createOnlineReserve();
       const now = noteSteady(reserve, () => true);
       for (let index = 0; index < 10; index++) reserve.note(true, now + index);
-      assert.equal(reserve.isHeld(now + 10), true);
-      assert.equal(reserve.isHeld(now + 10 + BURST_PAUSE_MS), false);
+      assert.equal(reserve.isBatchPaused(now + 10), true);
+      assert.equal(reserve.isBatchPaused(now + 10 + BURST_PAUSE_MS), false);
     });
   });
 
-  it('is a share of each endpoint before any question came', () => {
+  it('contains slots of each endpoint before the first request', () => {
     const reserve = createOnlineReserve();
     const headroom = ENDPOINTS * BATCH_HEADROOM;
     assert.equal(reserve.countHeadroom(ENDPOINTS, 0), headroom);
--- a/src/decisions/overdue.test.ts
+++ b/src/decisions/overdue.test.ts
@@ -1,4 +1,4 @@
-/** A step of online load that exceeds the slots for two seconds. */
+/** Tests a step of online load that exceeds the slots for two seconds. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {ALL_MECHANISMS} from './mechanisms.js';
@@ -10,11 +10,11 @@
 const FIRST_BYTE_MS = 35;
 const RUN_MS = 700;
 const TARGET_MS = 300;
-const PATIENCE_MS = 5000;
-/** Requests a ms that the slots carry. */
+const TIMEOUT_MS = 5000;
+/** Requests per ms that the slots can serve. */
 const CAPACITY = (ENDPOINTS * SLOTS) / RUN_MS;
 
-/** Requests arrive evenly: a calm second, the step, and calm again. */
+/** Evenly spaced arrivals: a second of low load, the step, then low load. */
 function listArrivals(stepLoad: number): number[] {
   const arrivals: number[] = [];
   let owed = 0;
@@ -26,8 +26,8 @@
   return arrivals;
 }
 
-/** Shares of the step's requests that had their first byte in time, or late. */
-function playStep(stepLoad: number, overdueLast: boolean) {
+/** Simulates the step; returns its shares of requests in time and answered. */
+function simulateStep(stepLoad: number, overdueLast: boolean) {
   const mechanisms = {...ALL_MECHANISMS, overdueLast};
   const scheduler = createPoolScheduler({maxConcurrency: SLOTS}, mechanisms);
   const arrivals = listArrivals(stepLoad);
@@ -63,7 +63,7 @@
     }
     for (; arrivals[0] === now; arrivals.shift()) {
       const request = makeRequest({
-        deadline: now + PATIENCE_MS,
+        deadline: now + TIMEOUT_MS,
         targetAt: now + TARGET_MS,
       });
       arrivedAt.set(request.id, now);
@@ -83,21 +83,21 @@
   };
 }
 
-describe('a step that exceeds the slots', () => {
-  // A crowd asks for two seconds at 1.5 times what the slots carry. In order of
-  // arrival the queue soon takes longer than the target, and every request
-  // after that misses it by a little. Those that can be in time go first; the
-  // others are answered when the step is over.
+describe('a load step that exceeds the slots', () => {
+  // Guards against all requests of a step being a little late: at 1.5 times the
+  // capacity for two seconds, the wait in order of arrival soon exceeds the
+  // target, and every later request misses it. Requests that can be in time go
+  // first; the others are answered after the step.
   it('leaves most requests in time and all of them answered', t => {
-    const inOrder = playStep(1.5, false);
-    const inTimeFirst = playStep(1.5, true);
+    const inOrder = simulateStep(1.5, false);
+    const inTimeFirst = simulateStep(1.5, true);
     t.diagnostic(JSON.stringify({inOrder, inTimeFirst}));
     assert.ok(inTimeFirst.inTime > inOrder.inTime + 0.2);
     assert.equal(inTimeFirst.answered, 1);
-    assert.ok(inTimeFirst.longestMs < PATIENCE_MS / 2);
+    assert.ok(inTimeFirst.longestMs < TIMEOUT_MS / 2);
   });
 
-  it('changes nothing where the slots suffice', () => {
-    assert.equal(playStep(0.8, true).inTime, 1);
+  it('leaves all requests in time if the slots suffice', () => {
+    assert.equal(simulateStep(0.8, true).inTime, 1);
   });
 });
--- a/src/decisions/retry_budget.test.ts
+++ b/src/decisions/retry_budget.test.ts
@@ -4,34 +4,34 @@
 
 const REQUESTS_PER_SECOND = 50;
 
-/** Tries made in `seconds` when a share of all tries fails. */
-function playFailures(seconds: number, failing: (now: number) => boolean) {
+/** Simulates requests for `seconds`; returns attempts per request and denials. */
+function simulateFailures(seconds: number, failing: (now: number) => boolean) {
   let budget = createRetryBudget(0);
-  let tries = 0;
-  let unsaved = 0;
+  let attempts = 0;
+  let denied = 0;
   const requests = seconds * REQUESTS_PER_SECOND;
   for (let request = 0; request < requests; request++) {
     const now = (request / REQUESTS_PER_SECOND) * 1000;
     budget = noteRequest(budget, now);
-    tries++;
+    attempts++;
     for (let again = 0; again < 2 && failing(now); again++) {
       const draw = drawRetry(budget, now);
       budget = draw.budget;
-      if (!draw.granted) unsaved++;
+      if (!draw.granted) denied++;
       if (!draw.granted) break;
-      tries++;
+      attempts++;
     }
   }
-  return {amplification: tries / requests, unsaved};
+  return {amplification: attempts / requests, denied};
 }
 
 describe('retry budget', () => {
-  it('adds a tenth to the load when every try fails', () => {
-    const {amplification} = playFailures(600, () => true);
+  it('adds a tenth to the load when every attempt fails', () => {
+    const {amplification} = simulateFailures(600, () => true);
     assert.ok(amplification < 1.12, `${amplification}`);
   });
 
-  it('lets the 19 open requests of a lost failure domain be tried again', () => {
+  it('allows a retry of the 19 open requests of a lost failure domain', () => {
     let budget = createRetryBudget(0);
     for (let request = 0; request < 19; request++) {
       const draw = drawRetry(budget, 1000);
@@ -40,13 +40,13 @@
     }
   });
 
-  it('saves every request when one in twelve tries fails', () => {
+  it('allows all retries when one attempt in 12 fails', () => {
     let request = 0;
-    const {unsaved} = playFailures(600, () => request++ % 12 === 0);
-    assert.equal(unsaved, 0);
+    const {denied} = simulateFailures(600, () => request++ % 12 === 0);
+    assert.equal(denied, 0);
   });
 
-  it('has its reserve again after an outage', () => {
+  it('refills its reserve after an outage', () => {
     let budget = createRetryBudget(0);
     for (let request = 0; request < 30; request++) {
       budget = drawRetry(budget, 0).budget;
--- a/src/decisions/retry_budget.ts
+++ b/src/decisions/retry_budget.ts
@@ -1,47 +1,47 @@
 /**
- * Decides whether a failed try may be made again.
+ * Decides whether a failed attempt may be retried.
  *
- * Pattern of load: endpoints fail or go silent while load is high. Without a
- * budget each request is tried up to its bound, so the load on what is left
- * multiplies just when it can least bear it, and stays there after the cause
- * is gone.
+ * Load pattern: endpoints fail or go silent under high load. Without a budget, each
+ * request is attempted up to its maximum. The load on the remaining endpoints
+ * multiplies just when they can bear it least, and stays high after the cause is
+ * gone.
  *
- * Each new request earns a tenth of a retry, so that with every try failing
- * the load grows by a tenth at the most. A reserve lets a lone failure at low
- * traffic, and the requests that were on a failure domain when it went, be
- * tried again at once: at 1,700 requests a second over 360 instances and about
- * 8 s an answer, an instance has 38 requests open, half of them in one of its
- * region's two failure domains; 20 covers these. The reserve comes back in 40 s
- * by itself, so that an instance with little traffic regains it between two
- * failures. The test beside it plays both patterns.
+ * Each new request earns a tenth of a retry, so the load grows by at most a tenth
+ * even if every attempt fails. A reserve allows immediate retries after a single
+ * failure at low traffic, and for the open requests of a lost failure domain. At
+ * 1,700 requests per second over 360 instances and about 8 s per answer, an
+ * instance has 38 open requests, half of them in one of the two failure domains of
+ * its region; a reserve of 20 covers these. It refills by time alone within 40 s,
+ * so that an instance with little traffic regains it between two failures. The test
+ * of this module simulates both cases.
  */
 
 /** Retries earned by each new request. */
 export const RETRIES_PER_REQUEST = 0.1;
 
-/** Most retries that can be saved up. */
+/** Maximum number of retries in reserve. */
 export const MAX_SAVED_RETRIES = 20;
 
-/** Retries earned by time alone, a second. */
+/** Retries earned by time alone, per second. */
 export const RETRIES_PER_SECOND = 0.5;
 
-/** Retries left. Times in ms on the caller's monotonic clock. */
+/** Retries left at a time, in ms of the caller's monotonic clock. */
 export interface RetryBudget {
   readonly retries: number;
   readonly at: number;
 }
 
-/** Begins with the whole reserve. */
+/** Creates a budget with a full reserve. */
 export function createRetryBudget(now: number): RetryBudget {
   return {retries: MAX_SAVED_RETRIES, at: now};
 }
 
-/** A new request has come. */
+/** Credits the budget for a new request. */
 export function noteRequest(budget: RetryBudget, now: number): RetryBudget {
   return addRetries(budget, RETRIES_PER_REQUEST, now);
 }
 
-/** Takes one retry if there is one. */
+/** Takes one retry if one is left. */
 export function drawRetry(
   budget: RetryBudget,
   now: number,
@@ -52,7 +52,7 @@
   return {granted: true, budget: left};
 }
 
-/** Gives back a retry that was drawn and not made. */
+/** Returns a retry that was drawn but not used. */
 export function releaseRetry(budget: RetryBudget, now: number): RetryBudget {
   return addRetries(budget, 1, now);
 }
--- a/src/decisions/segment_order.test.ts
+++ b/src/decisions/segment_order.test.ts
@@ -26,8 +26,8 @@
   };
 }
 
-/** Claims `count` segments; returns how many each job was given. */
-function playClaims(
+/** Claims `count` segments; returns how many each job received. */
+function simulateClaims(
   order: SegmentOrder,
   jobs: readonly JobCandidate[],
   count: number,
@@ -42,7 +42,7 @@
 }
 
 describe('segment order', () => {
-  it('gives accounts turns by weight, however many jobs one has', () => {
+  it('gives accounts turns by weight regardless of their number of jobs', () => {
     const order = createSegmentOrder(CREDIT);
     const jobs = [
       makeJob('a1', 'a'),
@@ -50,7 +50,7 @@
       makeJob('a3', 'a'),
       makeJob('b1', 'b', {weight: 2}),
     ];
-    const {b1, ...others} = playClaims(order, jobs, 300);
+    const {b1, ...others} = simulateClaims(order, jobs, 300);
     assert.equal(b1, 200);
     assert.equal(
       Object.values(others).reduce((sum, one) => sum + one),
@@ -58,14 +58,14 @@
     );
   });
 
-  it('takes the job with the least laxity first within an account', () => {
+  it('chooses the job with the least laxity within an account', () => {
     const order = createSegmentOrder(CREDIT);
     const long = makeJob('long', 'a', {remainingItems: 290_000});
     const soon = makeJob('soon', 'a', {dueAt: 23.5 * HOUR_MS});
     assert.equal(order.chooseJob([soon, long], 0)?.jobId, 'long');
   });
 
-  it('lets a job that would be late go before its turn', () => {
+  it('chooses a job that would be late before its account has its turn', () => {
     const order = createSegmentOrder(CREDIT);
     const calm = makeJob('calm', 'a');
     const urgent = makeJob('urgent', 'b', {dueAt: HOUR_MS / 6});
@@ -73,31 +73,31 @@
     assert.equal(order.chooseJob([calm, urgent], 0)?.jobId, 'urgent');
   });
 
-  it('gains an account that calls all urgent its credit and no more', () => {
+  it('limits an account with only urgent jobs to its credit', () => {
     const order = createSegmentOrder(CREDIT);
     const calm = makeJob('calm', 'a');
     const urgent = makeJob('urgent', 'b', {dueAt: 1});
-    const given = playClaims(order, [calm, urgent], 1000);
+    const given = simulateClaims(order, [calm, urgent], 1000);
     assert.ok(given.urgent - given.calm <= 2 * 16, JSON.stringify(given));
   });
 
-  it('gives an account that comes back no claim saved up while away', () => {
+  it('does not let an idle account accumulate claims', () => {
     const order = createSegmentOrder(CREDIT);
     const a = makeJob('a1', 'a');
     const b = makeJob('b1', 'b');
-    playClaims(order, [a], 100);
-    const given = playClaims(order, [a, b], 100);
+    simulateClaims(order, [a], 100);
+    const given = simulateClaims(order, [a, b], 100);
     assert.ok(Math.abs(given.a1 - given.b1) <= 1, JSON.stringify(given));
   });
 
-  it('does not forgive an account what it owes when it leaves and returns', () => {
+  it('still charges an account for its earlier excess when it returns', () => {
     const order = createSegmentOrder(CREDIT);
     const a = makeJob('a1', 'a');
     const b = makeJob('b1', 'b', {dueAt: 1});
-    const first = playClaims(order, [a, b], 20);
+    const first = simulateClaims(order, [a, b], 20);
     order.chooseJob([a], 0);
     const calm = {...b, dueAt: 24 * HOUR_MS};
-    const then = playClaims(order, [a, calm], 20);
+    const then = simulateClaims(order, [a, calm], 20);
     assert.ok(then.a1 > then.b1, JSON.stringify({first, then}));
   });
 });
--- a/src/decisions/segment_order.ts
+++ b/src/decisions/segment_order.ts
@@ -1,24 +1,26 @@
 /**
- * Which job's segment is worked next.
+ * Decides from which job the next segment is claimed.
  *
- * Pattern of load: several client accounts have bundles open at once, of very
- * different sizes and due times, on capacity that changes from one second to
- * the next. Without an order, the first large bundle holds the endpoints for
- * an hour while a small one passes its due time; by due time alone, an account
- * that names near due times takes everything; by fair share alone, a job that
- * would be late waits its turn behind jobs that have all day.
+ * Load pattern: several client accounts have open bundles of very different sizes
+ * and due times, on a capacity that changes from second to second. Without an
+ * order, the first large bundle holds the endpoints for an hour while a small one
+ * passes its due time. By due time alone, an account that requests near due times
+ * takes everything. By fair share alone, a job that would be late waits for jobs
+ * that have all day.
  *
- * Accounts take turns by weighted service (start-time fair queueing: an
- * account that comes back starts level with the least served one, so it saves
- * up no claim while it is away). Within an account the least laxity goes
- * first: due time less now less the time that its remaining items take. A job
- * whose laxity is below URGENT_LAXITY_MS goes before its account's turn, as
- * long as its account is not more than `urgentCreditItems` of weighted service
- * ahead of the least served one; what it takes ahead of its turn it gives back
- * afterwards, so naming near due times gains an account that much, once.
+ * Accounts take turns by weighted service (start-time fair queueing): an account
+ * that returns starts level with the least served one, so it accumulates no claim
+ * while it is idle. Within an account, the job with the least laxity goes first.
+ * Laxity is the time until the due time, minus the time that the remaining items
+ * take.
+ *
+ * A job with a laxity below URGENT_LAXITY_MS goes before its account's turn, as
+ * long as its account is at most `urgentCreditItems` of weighted service ahead of
+ * the least served one. The account pays for this later, so requesting near due
+ * times gains it this credit only once.
  */
 
-/** An open job with segments to claim. Times are wall time in ms. */
+/** An open job with unclaimed segments. Times are wall-clock times in ms. */
 export interface JobCandidate {
   jobId: string;
   account: string;
@@ -29,31 +31,34 @@
   remainingItems: number;
 }
 
-/** Below this laxity a job goes before its account's turn. */
+/** Laxity below which a job goes before its account's turn. */
 export const URGENT_LAXITY_MS = 10 * 60_000;
 
-/** Rate assumed before any was measured, in items a second. */
+/** Rate assumed before the first measurement, in items per second. */
 const INITIAL_ITEMS_PER_SECOND = 50;
 
-/** The order of one service's segments on one instance. */
+/** Orders the segments of one service on one instance. */
 export interface SegmentOrder {
-  /** The job to claim a segment of; undefined when there is no candidate. */
+  /** Chooses the job to claim a segment from; undefined without candidates. */
   chooseJob(
     candidates: readonly JobCandidate[],
     wallNow: number,
   ): JobCandidate | undefined;
-  /** Charges an account for items claimed. */
+  /** Charges an account for claimed items. */
   noteClaimed(account: string, items: number, weight: number): void;
-  /** Items that ended within `elapsedMs`; feeds the estimate of laxity. */
+  /** Records that `items` ended within `elapsedMs`; laxity is estimated from it. */
   noteRate(items: number, elapsedMs: number): void;
   describe(): object;
 }
 
-/** `urgentCreditItems`: items that urgent jobs may run ahead of their turn. */
+/**
+ * Creates an order without history. Urgent jobs may run up to
+ * `urgentCreditItems` ahead of their account's turn.
+ */
 export function createSegmentOrder(urgentCreditItems: number): SegmentOrder {
   const served = new Map<string, number>();
   let present = new Set<string>();
-  let floor = 0;
+  let serviceFloor = 0;
   let itemsPerSecond = INITIAL_ITEMS_PER_SECOND;
 
   function getServed(account: string): number {
@@ -66,27 +71,29 @@
   }
 
   /**
-   * Accounts that come back start no lower than those that stayed; what they
-   * owe from before is not forgiven. Returns the least service of all.
+   * Raises the service of returning accounts to the least of those that stayed.
+   * An account that was served more keeps its higher value. Returns the least
+   * service of all accounts.
    */
-  function startLevel(candidates: readonly JobCandidate[]): number {
-    const now = new Set(candidates.map(({account}) => account));
-    const stayed = [...now].filter(account => present.has(account));
-    if (stayed.length > 0) floor = Math.min(...stayed.map(getServed));
-    for (const account of now) {
+  function updateServiceFloor(candidates: readonly JobCandidate[]): number {
+    const accounts = new Set(candidates.map(({account}) => account));
+    const stayed = [...accounts].filter(account => present.has(account));
+    if (stayed.length > 0) serviceFloor = Math.min(...stayed.map(getServed));
+    for (const account of accounts) {
       if (present.has(account)) continue;
-      served.set(account, Math.max(getServed(account), floor));
+      served.set(account, Math.max(getServed(account), serviceFloor));
     }
     for (const [account, amount] of served) {
-      if (!now.has(account) && amount <= floor) served.delete(account);
+      if (!accounts.has(account) && amount <= serviceFloor)
+        served.delete(account);
     }
-    present = now;
-    return Math.min(...[...now].map(getServed));
+    present = accounts;
+    return Math.min(...[...accounts].map(getServed));
   }
 
   return {
     chooseJob(candidates, wallNow) {
-      const least = startLevel(candidates);
+      const least = updateServiceFloor(candidates);
       const ranked = candidates
         .map(job => ({job, laxity: computeLaxity(job, wallNow)}))
         .sort((a, b) => a.laxity - b.laxity || compareJobs(a.job, b.job));
--- a/src/decisions/steps_beside_bundles.test.ts
+++ b/src/decisions/steps_beside_bundles.test.ts
@@ -1,6 +1,7 @@
 /**
- * Steps of questions beside bundles that are due: what callers get of it, on
- * virtual time, with endpoints that run each request for a fixed time.
+ * Tests the service that callers get during steps of online load beside bundles
+ * with due times. Runs on virtual time, with endpoints that run each request for a
+ * fixed time.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -13,37 +14,37 @@
 const ENDPOINTS = 8;
 const SLOTS = 8;
 const FIRST_BYTE_MS = 75;
-const QUESTION_MS = 780;
-const ITEM_MS = 5000;
+const ONLINE_RUN_MS = 780;
+const ITEM_RUN_MS = 5000;
 const OBJECTIVE_MS = 300;
 const DUE_MS = 18_000;
-/** From an order to make way until the slot is free. */
+/** Time from a yield order until the slot is free. */
 const YIELD_MS = 15;
 
-/** What people are promised of each, as shares. */
-const QUESTIONS_IN_TIME = 0.99;
+/** Guaranteed shares of online requests and items in time. */
+const ONLINE_IN_TIME = 0.99;
 const ITEMS_IN_TIME = 0.85;
 
-/** Together they want 59 of 64 slots on the mean. */
+/** Together, online and batch load need 59 of 64 slots on average. */
 const STEP_LOW_MS = 3800;
 const STEP_HIGH_MS = 2800;
-const LOW_PER_S = 15;
-const HIGH_PER_S = 72;
-const BUNDLES_PER_S = 0.53;
+const LOW_PER_SECOND = 15;
+const HIGH_PER_SECOND = 72;
+const BUNDLES_PER_SECOND = 0.53;
 const ITEMS = 10;
-const LASTS_MS = 120_000;
+const DURATION_MS = 120_000;
 
-/** Plays the steps. */
-function playSteps(seed: number) {
+/** Simulates the steps; returns the shares of requests and items in time. */
+function simulateSteps(seed: number) {
   const clock = createVirtualClock();
   const random = createRandom(seed);
   const scheduler = createPoolScheduler({maxConcurrency: SLOTS});
   const requests = new Map<string, ScheduledRequest>();
   const leftMs = new Map<string, number>();
   const startedAt = new Map<string, number>();
-  const waits: number[] = [];
+  const onlineWaits: number[] = [];
   const lateness: number[] = [];
-  let made = 0;
+  let requestCount = 0;
 
   const handlers: {
     [Kind in SchedulerAction['kind']]: (
@@ -70,7 +71,7 @@
       }
     });
     if (request.workClass === 'online')
-      waits.push(now - Number(id.split(':')[1]));
+      onlineWaits.push(now - Number(id.split(':')[1]));
     const runMs = FIRST_BYTE_MS + leftMs.get(id)!;
     clock.schedule(runMs, () => {
       if (startedAt.get(id) === now) endRun(id, runMs);
@@ -90,7 +91,7 @@
     apply(scheduler.release(id, outcome, clock.now()));
   }
 
-  /** What it has is kept; it asks for another slot at once. */
+  /** Stops an item; it keeps its partial answer and requests another slot. */
   function stopItem(id: string) {
     const began = startedAt.get(id);
     if (began === undefined) return;
@@ -99,7 +100,7 @@
     const ranMs = Math.max(0, clock.now() - began - FIRST_BYTE_MS);
     const workMs = Math.max(0, leftMs.get(id)! - ranMs);
     apply(scheduler.release(id, {kind: 'yielded', tokens: 1}, clock.now()));
-    submit({...request, id: `item:${made++}`, workMs}, workMs);
+    submit({...request, id: `item:${requestCount++}`, workMs}, workMs);
   }
 
   function submit(request: ScheduledRequest, workMs: number) {
@@ -108,74 +109,78 @@
     apply(scheduler.submit(request, clock.now()));
   }
 
-  function askQuestion() {
+  function submitOnlineRequest() {
     const now = clock.now();
-    const id = `question:${now}:${made++}`;
+    const id = `online:${now}:${requestCount++}`;
     const targetAt = now + OBJECTIVE_MS;
     const deadline = now + 5000;
-    submit(makeRequest({id, deadline, targetAt}), QUESTION_MS - FIRST_BYTE_MS);
+    submit(
+      makeRequest({id, deadline, targetAt}),
+      ONLINE_RUN_MS - FIRST_BYTE_MS,
+    );
   }
 
-  function handInBundle() {
+  function submitBundle() {
     const dueAt = clock.now() + DUE_MS;
     for (let index = 0; index < ITEMS; index++) {
-      const id = `item:${made++}`;
+      const id = `item:${requestCount++}`;
       const deadline = dueAt + 60_000;
-      const account = `account-${made % 4}`;
+      const account = `account-${requestCount % 4}`;
       const item = makeRequest({
         id,
         account,
         workClass: 'batch',
         deadline,
         dueAt,
-        workMs: ITEM_MS,
+        workMs: ITEM_RUN_MS,
       });
-      submit(item, ITEM_MS);
+      submit(item, ITEM_RUN_MS);
     }
   }
 
-  function scheduleAgain(getPerMs: () => number, task: () => void) {
+  function scheduleArrivals(getPerMs: () => number, task: () => void) {
     const waitMs = random.drawExponential(1 / getPerMs());
     clock.schedule(waitMs, () => {
-      if (clock.now() > LASTS_MS) return;
+      if (clock.now() > DURATION_MS) return;
       task();
-      scheduleAgain(getPerMs, task);
+      scheduleArrivals(getPerMs, task);
     });
   }
 
-  function getQuestionsPerMs(): number {
+  function getOnlinePerMs(): number {
     const within = clock.now() % (STEP_LOW_MS + STEP_HIGH_MS);
-    return (within < STEP_LOW_MS ? LOW_PER_S : HIGH_PER_S) / 1000;
+    return (within < STEP_LOW_MS ? LOW_PER_SECOND : HIGH_PER_SECOND) / 1000;
   }
 
   apply(scheduler.setEndpoints(makeEndpoints(ENDPOINTS), 0));
-  scheduleAgain(getQuestionsPerMs, askQuestion);
-  scheduleAgain(() => BUNDLES_PER_S / 1000, handInBundle);
+  scheduleArrivals(getOnlinePerMs, submitOnlineRequest);
+  scheduleArrivals(() => BUNDLES_PER_SECOND / 1000, submitBundle);
   const decide = () => {
     apply(scheduler.decide(clock.now()));
     clock.schedule(20, decide);
   };
   decide();
-  clock.advance(LASTS_MS + DUE_MS);
+  clock.advance(DURATION_MS + DUE_MS);
   const slackMs = OBJECTIVE_MS - FIRST_BYTE_MS;
   const count = (times: readonly number[], most: number) =>
     times.filter(time => time <= most).length / times.length;
   return {
-    questionsInTime: count(waits, slackMs),
+    onlineInTime: count(onlineWaits, slackMs),
     itemsInTime: count(lateness, 0),
   };
 }
 
-// Questions come in steps, a seventh and then all of the slots, and bundles want
-// what the steps leave. With slots kept free for questions that have 225 ms to
-// wait, people get their bundles late; with none, drivers wait behind items.
-describe('steps of questions beside bundles that are due', () => {
+// Online load alternates between a seventh and all of the slots, and bundles need
+// the rest. Guards against a wrong reserve: if slots are kept free although online
+// requests have 225 ms to wait, bundles are late; with no reserve at all, online
+// requests wait behind items.
+describe('steps of online load beside bundles with due times', () => {
   for (const seed of [1, 2, 3, 4]) {
-    it(`keeps both in time, seed ${seed}`, () => {
-      const {questionsInTime, itemsInTime} = playSteps(seed);
+    it(`leave both in time, seed ${seed}`, () => {
+      const {onlineInTime, itemsInTime} = simulateSteps(seed);
       assert.ok(
-        questionsInTime >= QUESTIONS_IN_TIME,
-        `questions: ${questionsInTime}`,
+        onlineInTime >= ONLINE_IN_TIME,
+        `online requests: ${onlineInTime}`,
       );
       assert.ok(itemsInTime >= ITEMS_IN_TIME, `items: ${itemsInTime}`);
     });
--- a/src/decisions/waiting_queues.ts
+++ b/src/decisions/waiting_queues.ts
@@ -1,43 +1,44 @@
 /**
- * The requests that wait for a slot of one pool: online ones that can still be
- * in time, online ones that cannot, and batch items likewise, each in fair
- * order. overdue.ts and batch_order.ts say why the late ones are apart.
+ * The requests that wait for a slot of one pool, in four queues: online requests
+ * that can still be in time, online requests that cannot, and batch items
+ * likewise, each in fair order. overdue.ts and batch_order.ts explain why late
+ * requests have queues of their own.
  */
 import {createFairQueue, type FairQueue} from './fair_queue.js';
 import type {Mechanisms} from './mechanisms.js';
 import type {ScheduledRequest} from './scheduler_types.js';
 
-/** The queues, and what is done to all of them. */
+/** The four queues and the operations on all of them. */
 export interface WaitingQueues {
   online: FairQueue;
   overdue: FairQueue;
   batch: FairQueue;
-  /** Batch items that cannot be in time any more. */
+  /** Batch items that can no longer be in time. */
   late: FairQueue;
   has(request: ScheduledRequest): boolean;
-  /** Online requests, in time or not. */
+  /** Counts all waiting online requests. */
   countOnline(): number;
-  /** Takes a request out and charges its account for it. */
+  /** Removes a request and charges its account for the work. */
   take(request: ScheduledRequest): void;
-  /** Takes a request out without charge: it will not run. */
+  /** Removes a request that will not run; its account is not charged. */
   remove(id: string): void;
-  /** Takes out those whose deadline is at or before `now`. */
+  /** Removes and returns the requests whose deadline is at or before `now`. */
   takeExpired(now: number): ScheduledRequest[];
-  /** Moves online requests whose target is out of reach behind the others. */
+  /** Moves online requests that cannot meet their target behind the others. */
   moveOverdue(
     isOverdue: (request: ScheduledRequest) => boolean,
     estimateWork: (request: ScheduledRequest) => number,
   ): void;
-  /** Moves batch items that cannot be in time any more behind the others. */
+  /** Moves batch items that can no longer be in time behind the others. */
   moveLate(
-    isPastSaving: (request: ScheduledRequest) => boolean,
+    isDueTimeUnreachable: (request: ScheduledRequest) => boolean,
     estimateWork: (request: ScheduledRequest) => number,
   ): void;
-  /** Requests waiting, by queue and account. */
+  /** Returns the number of waiting requests by queue and account. */
   describe(): object;
 }
 
-/** Starts empty. */
+/** Creates empty queues. */
 export function createWaitingQueues({
   fairShares,
   overdueLast,
@@ -48,17 +49,20 @@
   const late = createFairQueue(fairShares);
   const all = [online, overdue, batch, late];
 
-  /** Those behind the head of an account's queue are due later than it. */
+  /**
+   * Moves the requests at the head of each account's queue that meet a condition.
+   * The requests behind the first one that stays are due later than it.
+   */
   function pushHeads(
     from: FairQueue,
     to: FairQueue,
-    isToMove: (request: ScheduledRequest) => boolean,
+    shouldMove: (request: ScheduledRequest) => boolean,
     estimateWork: (request: ScheduledRequest) => number,
   ) {
     for (const {account} of from.listHeads()) {
       for (;;) {
         const head = from.peekOf(account);
-        if (!head || !isToMove(head)) break;
+        if (!head || !shouldMove(head)) break;
         from.remove(head.id);
         to.push(head, estimateWork(head));
       }
@@ -82,8 +86,8 @@
     moveOverdue(isOverdue, estimateWork) {
       if (overdueLast) pushHeads(online, overdue, isOverdue, estimateWork);
     },
-    moveLate(isPastSaving, estimateWork) {
-      pushHeads(batch, late, isPastSaving, estimateWork);
+    moveLate(isDueTimeUnreachable, estimateWork) {
+      pushHeads(batch, late, isDueTimeUnreachable, estimateWork);
     },
     describe: () => ({
       online: online.describe(),
--- a/src/decisions/waiting_tokens.test.ts
+++ b/src/decisions/waiting_tokens.test.ts
@@ -9,8 +9,8 @@
 
 const MAX_TOKENS = 100;
 
-describe('what an account has waiting', () => {
-  it('leaves room for what fits beside it, and for what is in it', () => {
+describe('waiting tokens of an account', () => {
+  it('leave room for bundles within the bound and for bundles already entered', () => {
     const waiting: WaitingBundles = {
       a: {tokens: 60, left: 60, at: 0},
       b: {tokens: 50, left: 10, at: 0},
@@ -20,25 +20,25 @@
     assert.equal(isFitting(waiting, 'a', 60, MAX_TOKENS), true);
   });
 
-  it('has no room for what is larger than the bound', () => {
+  it('leave no room for a bundle larger than the bound', () => {
     assert.equal(isFitting({}, 'a', MAX_TOKENS + 1, MAX_TOKENS), false);
   });
 });
 
-describe('an entry, once its bundle was looked at', () => {
+describe('an entry whose bundle was checked', () => {
   const entry = {tokens: 90, left: 90, at: 1000};
 
-  it('counts for what is not listed yet', () => {
+  it('counts the items that are not listed yet', () => {
     const seen = {isOpen: true, total: 3, listed: 2};
     assert.equal(updateEntry(entry, seen, 2000)?.left, 30);
   });
 
-  it('counts no longer when the bundle has ended', () => {
+  it('no longer counts when the bundle has ended', () => {
     const seen = {isOpen: false, total: 3, listed: 1};
     assert.equal(updateEntry(entry, seen, 2000), undefined);
   });
 
-  it('counts for a while when the bundle is not there', () => {
+  it('counts until the grace period ends when the bundle does not exist', () => {
     const end = entry.at + ENTRY_GRACE_MS;
     assert.equal(updateEntry(entry, undefined, end - 1), entry);
     assert.equal(updateEntry(entry, undefined, end), undefined);
--- a/src/decisions/waiting_tokens.ts
+++ b/src/decisions/waiting_tokens.ts
@@ -1,43 +1,45 @@
 /**
- * How much batch work an account may have waiting on a route, over the fleet.
+ * Bounds the batch work that an account may have waiting on a route in the whole
+ * fleet.
  *
- * Pattern of load: one account hands in bundles faster than the fleet works
- * them off. Without a bound its backlog grows until all bundles are late, its
- * own first ones included; refused at once, its callers know to come back.
+ * Load pattern: one account submits bundles faster than the fleet processes them.
+ * Without a bound its backlog grows until all its bundles are late, including the
+ * first ones. With it, excess bundles are refused at once and callers know that
+ * they must retry later.
  *
- * What is reckoned with may be too high, never too low: a bundle counts whole
- * until somebody looks how much of it is done. So a bundle that fits by this
- * sum fits, and only one that does not is worth looking closer for.
+ * The sum of waiting tokens may be too high but never too low: a bundle counts in
+ * full until its progress is checked. So a bundle that fits by this sum does fit,
+ * and progress has to be checked only for one that does not.
  */
 
 import * as z from 'zod';
 
-/** One accepted bundle, or one about to be. */
+/** A bundle that is accepted or about to be. */
 export const waitingBundleSchema = z.object({
   /** Tokens of all its items. */
   tokens: z.number(),
-  /** Of those, what was not listed yet when somebody last looked. */
+  /** Tokens of items whose results were not listed at the last check. */
   left: z.number(),
-  /** Shared time at which it was entered, in ms. */
+  /** Time of entry by the fleet's shared clock, in ms. */
   at: z.number(),
 });
 
-/** By the bundle's id. */
+/** Entries by bundle id. */
 export const waitingBundlesSchema = z.record(z.string(), waitingBundleSchema);
 
-/** Type of the schema of the same name. */
+/** Type of `waitingBundleSchema`. */
 export type WaitingBundle = z.infer<typeof waitingBundleSchema>;
-/** Type of the schema of the same name. */
+/** Type of `waitingBundlesSchema`. */
 export type WaitingBundles = z.infer<typeof waitingBundlesSchema>;
 
-/** What the store says of a bundle; undefined: it is not there. */
+/** State of a bundle in the store; undefined if it does not exist. */
 export type BundleView =
   {isOpen: boolean; total: number; listed: number} | undefined;
 
-/** Longest time from entering a bundle to the write that makes it, in ms. */
+/** Longest time from the entry of a bundle to the write that creates it, in ms. */
 export const ENTRY_GRACE_MS = 10_000;
 
-/** Whether a bundle fits beside the others; one entered before counts once. */
+/** Whether a bundle fits beside the others; an existing entry of it is replaced. */
 export function isFitting(
   waiting: WaitingBundles,
   id: string,
@@ -50,9 +52,9 @@
 }
 
 /**
- * An entry after a look at its bundle; undefined when it counts no longer. A
- * bundle that is not there may still come into being until ENTRY_GRACE_MS after
- * it was entered: a write whose answer was lost takes effect late.
+ * Updates an entry by the state of its bundle; undefined if it no longer counts.
+ * A missing bundle may still be created until ENTRY_GRACE_MS after its entry,
+ * since a write whose response was lost can take effect late.
  */
 export function updateEntry(
   entry: WaitingBundle,
