--- a/src/decisions/blind_dispatcher.ts
+++ b/src/decisions/blind_dispatcher.ts
@@ -1,29 +1,33 @@
 /**
- * Whether an instance must leave dispatching to others because it no longer
- * hears which endpoints come and go.
+ * Decides whether an instance without store access must leave dispatching to
+ * others, because it no longer learns which endpoints come and go.
  *
- * Pattern of load: endpoints are replaced one after the other while the store
- * turns some instances away. A dispatcher among these goes on granting slots of
- * endpoints that have left and none of new ones: every request of the pool is
- * refused or goes round, although most instances know better. It steps down
- * once a peer reports that the store answers there; while the store is away
- * for all, nobody steps down.
+ * Load pattern: endpoints are replaced one after the other while the store refuses
+ * some instances. A dispatcher among these would continue to grant slots of
+ * endpoints that have left and none of new ones. Every request of the pool is then
+ * refused or passed on, although most instances know the current endpoints.
+ *
+ * The dispatcher steps down once a peer reports that the store answers it. While
+ * the store is unavailable to all instances, none steps down.
  */
 
 /**
- * A report counts when it was asked for so long after this instance lost the
- * store, in ms: a peer needs up to 1.6 s to notice a store that went silent,
- * and until then still says that it answers.
+ * A peer's report counts if it was requested at least this long after this instance
+ * lost the store, in ms. A peer needs up to 1.6 s to detect that the store became
+ * silent, and still reports until then that it answers.
  */
-export const BLIND_AFTER_MS = 2000;
+export const STORE_LOSS_DETECTION_MS = 2000;
 
-/** What a peer said of the store, and when it was asked, in ms. */
+/** A peer's report on the store and when it was requested, in ms. */
 export interface StoreReport {
   storeReachable: boolean;
   askedAt: number;
 }
 
-/** `lostAt` is when the store stopped to answer here; undefined if it does. */
+/**
+ * Whether the store refuses this instance but answers a peer. `lostAt` is when it
+ * stopped answering here; undefined if it still does.
+ */
 export function isBlind(
   lostAt: number | undefined,
   reports: readonly StoreReport[],
@@ -31,6 +35,6 @@
   if (lostAt === undefined) return false;
   return reports.some(
     ({storeReachable, askedAt}) =>
-      storeReachable && askedAt >= lostAt + BLIND_AFTER_MS,
+      storeReachable && askedAt >= lostAt + STORE_LOSS_DETECTION_MS,
   );
 }
--- a/src/decisions/bundle_watchers.ts
+++ b/src/decisions/bundle_watchers.ts
@@ -1,13 +1,14 @@
 /**
- * Which instances watch for bundles whose owner is gone.
+ * Selects the instances that watch for bundles whose owner is gone.
  *
- * Pattern of load: several bundles a second come and end, on a fleet of hundreds.
- * Where every instance follows all open bundles, each of these changes is told to
- * each of them: calls to the store and work grow with the size of the fleet times
- * its bundles, although owners seldom go. So a few instances watch, and tell the
- * one that ranks first for a bundle to take it over. Five are enough: it takes all
- * of them to be without the store at once before a bundle waits, and when they
- * die others rank first within seconds.
+ * Load pattern: several bundles per second start and end, on a fleet of hundreds of
+ * instances. If every instance follows all open bundles, each of these changes is
+ * sent to each instance: store calls and work grow with the size of the fleet times
+ * its bundles, although owners are seldom lost.
+ *
+ * So a few instances watch, and notify the instance that ranks first for a bundle to
+ * take it over. Five are enough: a bundle waits only if all of them lose the store
+ * at once, and if they die, others rank first within seconds.
  */
 import {
   rankByRendezvous,
@@ -15,12 +16,15 @@
   type Ranked,
 } from './instance_ranking.js';
 
-const WATCHERS = 5;
-const KEY = 'open bundles';
+const WATCHER_COUNT = 5;
+const RANKING_KEY = 'open bundles';
 
-/** The watchers among live instances, by facts that all views share. */
+/** Selects the watchers among live instances, by facts that all instances share. */
 export function selectWatchers<
   Candidate extends Ranked & {startedAt?: number; capacity?: number},
 >(live: readonly Candidate[]): Candidate[] {
-  return rankByRendezvous(KEY, selectSettled(live)).slice(0, WATCHERS);
+  return rankByRendezvous(RANKING_KEY, selectSettled(live)).slice(
+    0,
+    WATCHER_COUNT,
+  );
 }
--- a/src/decisions/crash_suspects.test.ts
+++ b/src/decisions/crash_suspects.test.ts
@@ -2,13 +2,13 @@
 import {describe, it} from 'node:test';
 import {createRandom} from '../plays/random.js';
 import {
-  ANSWER_MEMORY_MS,
+  ANSWER_VALIDITY_MS,
   ANSWERED_WEIGHT,
   decideHeld,
-  HOLD_MS,
-  HOLD_WEIGHT,
+  QUARANTINE_MS,
+  QUARANTINE_WEIGHT,
   isCleared,
-  PROBE_MS,
+  FIRST_QUARANTINE_MS,
   TIE_WEIGHT,
   UNANSWERED_WEIGHT,
   type CrashRecord,
@@ -16,7 +16,7 @@
 
 const PAUSE_MS = 1000;
 
-/** Crashes of endpoints of their own, `contents` lost in each. */
+/** One crash of a different endpoint for each list of lost contents. */
 function makeCrashes(...crashes: string[][]): CrashRecord[] {
   return crashes.flatMap((contents, index) =>
     contents.map(content => ({
@@ -28,22 +28,22 @@
   );
 }
 
-function listHeld(records: readonly CrashRecord[], now = 0): string[] {
+function listQuarantined(records: readonly CrashRecord[], now = 0): string[] {
   return [...decideHeld(records, now).keys()].sort();
 }
 
-describe('contents under which endpoints end', () => {
-  it('are held after three crashes, not before', () => {
-    assert.deepEqual(listHeld(makeCrashes(['x'], ['x'])), []);
-    assert.deepEqual(listHeld(makeCrashes(['x'], ['x'], ['x'])), ['x']);
+describe('contents that crash endpoints', () => {
+  it('are quarantined after three crashes, not before', () => {
+    assert.deepEqual(listQuarantined(makeCrashes(['x'], ['x'])), []);
+    assert.deepEqual(listQuarantined(makeCrashes(['x'], ['x'], ['x'])), ['x']);
   });
 
-  it('are held although others were lost beside them', () => {
+  it('are quarantined although others were lost with them', () => {
     const records = makeCrashes(['x', 'a', 'b'], ['x', 'a'], ['x', 'c', 'b']);
-    assert.deepEqual(listHeld(records), ['x']);
+    assert.deepEqual(listQuarantined(records), ['x']);
   });
 
-  it('are held each, when two come at the same time', () => {
+  it('are both quarantined when two occur at the same time', () => {
     const records = makeCrashes(
       ['x', 'a'],
       ['y', 'a'],
@@ -53,68 +53,68 @@
       ['y'],
       ['x'],
     );
-    assert.deepEqual(listHeld(records), ['x', 'y']);
+    assert.deepEqual(listQuarantined(records), ['x', 'y']);
   });
 
-  it('are held for a short time first, so that an answer can clear them', () => {
+  it('are quarantined briefly at first, so that an answer can clear them', () => {
     const records = makeCrashes(['x'], ['x'], ['x']);
     const {until, crashes} = decideHeld(records, 0).get('x')!;
-    assert.deepEqual([crashes, until], [3, 2 * PAUSE_MS + PROBE_MS]);
+    assert.deepEqual([crashes, until], [3, 2 * PAUSE_MS + FIRST_QUARANTINE_MS]);
   });
 
-  it('are held for long once they crash another endpoint', () => {
+  it('are quarantined for long once they crash another endpoint', () => {
     const records = makeCrashes(['x'], ['x'], ['x'], ['x']);
     const {until, crashes} = decideHeld(records, 0).get('x')!;
-    assert.deepEqual([crashes, until], [4, 3 * PAUSE_MS + HOLD_MS]);
-    assert.deepEqual(listHeld(records, until), []);
+    assert.deepEqual([crashes, until], [4, 3 * PAUSE_MS + QUARANTINE_MS]);
+    assert.deepEqual(listQuarantined(records, until), []);
   });
 
-  it('are held later when their answers had begun', () => {
-    const most = Math.ceil(HOLD_WEIGHT / ANSWERED_WEIGHT);
+  it('are quarantined later when their answers had begun', () => {
+    const most = Math.ceil(QUARANTINE_WEIGHT / ANSWERED_WEIGHT);
     const crashes = Array<string[]>(most).fill(['x+']);
-    assert.deepEqual(listHeld(makeCrashes(...crashes.slice(1))), []);
-    assert.deepEqual(listHeld(makeCrashes(...crashes)), ['x']);
+    assert.deepEqual(listQuarantined(makeCrashes(...crashes.slice(1))), []);
+    assert.deepEqual(listQuarantined(makeCrashes(...crashes)), ['x']);
   });
 
-  it('count one crash once, whoever reports it', () => {
+  it('count a crash once regardless of how many instances report it', () => {
     const once = makeCrashes(['x', 'x', 'x']);
     const later = once.map(each => ({...each, endedAt: each.endedAt + 100}));
-    assert.deepEqual(listHeld([...once, ...later]), []);
+    assert.deepEqual(listQuarantined([...once, ...later]), []);
   });
 
-  it('count an endpoint again that ends again under the same name', () => {
+  it('count repeated crashes of an endpoint with the same name', () => {
     const records = makeCrashes(['x'], ['x'], ['x']);
     const flapping = records.map((each, index) => ({
       ...each,
       endpoint: 'i-0',
       endedAt: index * 5 * PAUSE_MS,
     }));
-    assert.deepEqual(listHeld(flapping), ['x']);
+    assert.deepEqual(listQuarantined(flapping), ['x']);
   });
 });
 
 describe('a content that was answered', () => {
   const [record] = makeCrashes(['x']);
 
-  it('is cleared of crashes before, and of one just after', () => {
-    assert.ok(isCleared(record, record.endedAt + HOLD_MS));
+  it('is cleared of crashes before the answer and just after it', () => {
+    assert.ok(isCleared(record, record.endedAt + QUARANTINE_MS));
     assert.ok(isCleared(record, record.endedAt - 1));
     assert.ok(!isCleared(record, undefined));
   });
 
-  // Guards against clearing for good what a new version of a model crashes on.
-  it('is not cleared of crashes long after', () => {
-    assert.ok(!isCleared(record, record.endedAt - ANSWER_MEMORY_MS));
+  // Guards against clearing a content forever that crashes a later model version.
+  it('is not cleared of crashes long after the answer', () => {
+    assert.ok(!isCleared(record, record.endedAt - ANSWER_VALIDITY_MS));
   });
 });
 
-describe('contents that were lost beside the cause', () => {
-  it('are not held, even in three crashes', () => {
+describe('contents that were lost with the cause', () => {
+  it('are not quarantined, even after three crashes', () => {
     const records = makeCrashes(['x', 'a'], ['x', 'a'], ['x', 'a'], ['x']);
-    assert.deepEqual(listHeld(records), ['x']);
+    assert.deepEqual(listQuarantined(records), ['x']);
   });
 
-  it('are not held for three crashes of different causes', () => {
+  it('are not quarantined for three crashes of different causes', () => {
     const records = makeCrashes(
       ['x', 'a'],
       ['x'],
@@ -123,53 +123,59 @@
       ['x', 'a'],
       ['y'],
     );
-    assert.deepEqual(listHeld(records), ['x', 'y']);
+    assert.deepEqual(listQuarantined(records), ['x', 'y']);
   });
 
-  it('run on with it while they cannot be told apart', () => {
+  it('may run like the cause while they cannot be distinguished', () => {
     const crash = ['x', 'a'];
     const three = makeCrashes(crash, crash, crash);
-    assert.deepEqual(listHeld(three), []);
+    assert.deepEqual(listQuarantined(three), []);
     const most = TIE_WEIGHT / UNANSWERED_WEIGHT;
     const all = makeCrashes(...Array<string[]>(most).fill(crash));
-    assert.deepEqual(listHeld(all), ['a', 'x']);
+    assert.deepEqual(listQuarantined(all), ['a', 'x']);
   });
 
-  it('are told apart by an answer that had begun', () => {
+  it('are distinguished by an answer that had begun', () => {
     const crash = ['x', 'a+'];
-    assert.deepEqual(listHeld(makeCrashes(crash, crash, crash)), ['x']);
+    assert.deepEqual(listQuarantined(makeCrashes(crash, crash, crash)), ['x']);
   });
 
-  // Guards against holding whoever is retried during a herd of crashes: 13
-  // endpoints, 8 runs on each, every run repeated until it is answered.
-  it('are seldom held: at most 1 in 1000 of those that a crash cut', () => {
-    const {cut, held} = playCrashes(200);
-    assert.ok(cut > 1000, `${cut} cut`);
-    assert.ok(held <= cut / 1000, `${held} of ${cut}`);
+  // Guards against a quarantine of requests that are only retried during a series
+  // of crashes: 13 endpoints, 8 runs on each, each repeated until it is answered.
+  it('are quarantined in at most 1 of 1000 interrupted requests', () => {
+    const {interrupted, quarantined} = simulateCrashes(200);
+    assert.ok(interrupted > 1000, `${interrupted} interrupted`);
+    assert.ok(
+      quarantined <= interrupted / 1000,
+      `${quarantined} of ${interrupted}`,
+    );
   });
 
-  // Guards against holding a long answer that a herd of crashes cut three times
-  // in its middle: its bundle was never whole.
-  it('are not held when long answers are cut in their middle', () => {
+  // Guards against a quarantine of a long answer that a series of crashes
+  // interrupted three times in its middle: its bundle was never complete.
+  it('are not quarantined when long answers are interrupted in the middle', () => {
     const records = makeCrashes(['x+', 'a+'], ['x+', 'b+'], ['x+', 'c']);
-    assert.deepEqual(listHeld(records), []);
+    assert.deepEqual(listQuarantined(records), []);
   });
 });
 
-/** Rounds of crashes on a small site; counts innocents cut and ever held. */
-function playCrashes(days: number) {
+/**
+ * Simulates rounds of crashes in a small deployment. Counts the innocent contents
+ * that were interrupted, and those of them that were ever quarantined.
+ */
+function simulateCrashes(days: number) {
   const random = createRandom(7);
-  let cut = 0;
-  let held = 0;
+  let interrupted = 0;
+  let quarantined = 0;
   for (let day = 0; day < days; day++) {
     const records: CrashRecord[] = [];
-    const everHeld = new Set<string>();
+    const everQuarantined = new Set<string>();
     const waiting: string[] = [];
-    const everCut = new Set<string>();
+    const everInterrupted = new Set<string>();
     for (let round = 0; round < 6; round++) {
       const beside = Array.from({length: 1 + Math.floor(random.draw() * 7)});
       const contents = beside.map((_, index) => {
-        // A quarter of those that were cut land on the next one to crash.
+        // A quarter of the interrupted contents runs on the next crashing endpoint.
         const again = random.draw() < 0.25 ? waiting.pop() : undefined;
         return again ?? `d${day} r${round} ${index}`;
       });
@@ -182,12 +188,12 @@
         });
       }
       waiting.splice(0, Infinity, ...contents);
-      contents.forEach(each => everCut.add(each));
-      for (const each of listHeld(records)) everHeld.add(each);
+      contents.forEach(each => everInterrupted.add(each));
+      for (const each of listQuarantined(records)) everQuarantined.add(each);
     }
-    assert.ok(everHeld.delete('x'), 'the cause is held');
-    cut += everCut.size;
-    held += everHeld.size;
+    assert.ok(everQuarantined.delete('x'), 'the cause is quarantined');
+    interrupted += everInterrupted.size;
+    quarantined += everQuarantined.size;
   }
-  return {cut, held};
+  return {interrupted, quarantined};
 }
--- a/src/decisions/crash_suspects.ts
+++ b/src/decisions/crash_suspects.ts
@@ -1,77 +1,84 @@
 /**
- * Which requests are not sent any more, because endpoints end under them.
+ * Decides which requests are quarantined because endpoints crash while they run.
  *
- * Pattern of load: one content comes again and again, under new ids and at any
- * instance, and each endpoint that begins to run it ends. The endpoint is passed
- * over, the next healthy one is chosen, and a service loses its endpoints one
- * after the other.
+ * Load pattern: the same content is requested again and again, under new ids and at
+ * any instance, and each endpoint that starts to run it crashes. Each retry chooses
+ * the next healthy endpoint, so without a quarantine a service loses its endpoints
+ * one after the other.
  *
- * What is at hand for each crash is the contents that ran there; all but one were
- * only beside it. A crash weighs more on a content whose answer had not begun: in
- * a herd of crashes, long answers are cut again and again in their middle. A
- * content of HOLD_WEIGHT is held if nothing else explains its crashes: in
- * LEAD_LIMIT of them it weighs more than any other content there. The crashes of a
- * content that is held count against no other.
- * Contents that were lost together each time cannot be told apart: each may run
- * until one is answered, which clears it, or crashes alone, which makes it lead;
- * from TIE_WEIGHT on both are held.
+ * The evidence of a crash is the set of contents that ran there; all but one of
+ * them are innocent. A crash has a higher weight for a content whose answer had not
+ * begun, since in a series of crashes long answers are interrupted again and again
+ * in their middle. A content with a weight of QUARANTINE_WEIGHT is quarantined if
+ * nothing else explains its crashes, that is, if it weighs more than any other
+ * content in MIN_LEADS of them. The crashes of a quarantined content count against
+ * no other content.
  *
- * Held first for PROBE_MS only: an innocent one is answered then, and cleared. One
- * that crashes another endpoint is held for HOLD_MS.
+ * Contents that were always lost together cannot be distinguished. Each may run
+ * until it is answered, which clears it, or crashes an endpoint alone, which gives
+ * it the lead. From TIE_WEIGHT on, both are quarantined.
+ *
+ * The first quarantine lasts only FIRST_QUARANTINE_MS. After it, an innocent content
+ * is answered and thereby cleared. A content that crashes another endpoint is
+ * quarantined for QUARANTINE_MS.
  */
 import {groupBy} from '../common/collections.js';
 
-/** A run that was lost with its endpoint. */
+/** A request that was lost when its endpoint crashed. */
 export interface CrashRecord {
-  /** Names what was asked for. */
+  /** Identifies the requested content. */
   content: string;
   endpoint: string;
-  /** When the endpoint ended, by a clock that all instances share, in ms. */
+  /** When the endpoint crashed, by the fleet's shared clock, in ms. */
   endedAt: number;
-  /** Whether a part of the answer had come. */
+  /** Whether part of the answer had been received. */
   hadAnswer: boolean;
 }
 
-/** A content that is not sent. */
+/** The quarantine of a content, which is not sent to endpoints. */
 export interface HeldContent {
   crashes: number;
-  /** When it may be sent again, by the shared clock, in ms. */
+  /** When the quarantine ends, by the shared clock, in ms. */
   until: number;
 }
 
-/** What a crash weighs on a content whose answer had, or had not, begun. */
+/** Weight of a crash for a content whose answer had begun. */
 export const ANSWERED_WEIGHT = 3;
+/** Weight of a crash for a content whose answer had not begun. */
 export const UNANSWERED_WEIGHT = 5;
 
-/** Weight from which a content may be held: three crashes before an answer. */
-export const HOLD_WEIGHT = 15;
+/** Minimum weight for a quarantine: three crashes before the answer began. */
+export const QUARANTINE_WEIGHT = 15;
 
-/** Crashes that it must lead to be held. */
-export const LEAD_LIMIT = 2;
+/** Minimum number of crashes in which a quarantined content weighs the most. */
+export const MIN_LEADS = 2;
 
-/** Weight from which those that were always lost together are held. */
+/** Weight from which contents that were always lost together are quarantined. */
 export const TIE_WEIGHT = 25;
 
-/** Losses at one endpoint no further apart are of one crash, in ms. */
+/** Losses at one endpoint within this time belong to the same crash, in ms. */
 export const SAME_CRASH_MS = 2000;
 
-/** After so long a content that is held for the first time may run again, in ms. */
-export const PROBE_MS = 15_000;
+/** Duration of the first quarantine of a content, in ms. */
+export const FIRST_QUARANTINE_MS = 15_000;
 
-/** A content is held, and its crashes count, for so long after the last, in ms. */
-export const HOLD_MS = 3_600_000;
+/**
+ * Duration of later quarantines in ms. The crashes of a content also count until
+ * this time after its last one.
+ */
+export const QUARANTINE_MS = 3_600_000;
 
-/** A crash so soon after an answer says nothing of its content, in ms. */
-export const ANSWER_MEMORY_MS = 10_000;
+/** Time after an answer in which a crash does not count against its content, in ms. */
+export const ANSWER_VALIDITY_MS = 10_000;
 
-/** One end of an endpoint. */
+/** One crash of an endpoint. */
 interface Crash {
   endedAt: number;
-  /** Whether its answer had begun, for each content that was lost. */
+  /** For each lost content, whether its answer had begun. */
   contents: Map<string, boolean>;
 }
 
-/** The contents that are held at `now`, by the shared clock. */
+/** Returns the quarantined contents at `now`, by the shared clock. */
 export function decideHeld(
   records: readonly CrashRecord[],
   now: number,
@@ -79,28 +86,35 @@
   const crashes = collectCrashes(selectCounting(records, now));
   const weights = sumWeights(crashes);
   const candidates = [...weights.keys()].filter(
-    content => weights.get(content)! >= HOLD_WEIGHT,
+    content => weights.get(content)! >= QUARANTINE_WEIGHT,
   );
   return new Map(
     selectCauses(candidates, crashes).map(content => [
       content,
-      describeHeld(content, crashes),
+      describeQuarantine(content, crashes),
     ]),
   );
 }
 
-function describeHeld(content: string, crashes: readonly Crash[]): HeldContent {
+function describeQuarantine(
+  content: string,
+  crashes: readonly Crash[],
+): HeldContent {
   const own = crashes
     .filter(({contents}) => contents.has(content))
     .toSorted((a, b) => a.endedAt - b.endedAt);
   const last = own.at(-1)!;
   const before = sumWeights(own.slice(0, -1)).get(content) ?? 0;
-  const wasHeld = before >= HOLD_WEIGHT;
-  const until = last.endedAt + (wasHeld ? HOLD_MS : PROBE_MS);
+  const wasQuarantined = before >= QUARANTINE_WEIGHT;
+  const until =
+    last.endedAt + (wasQuarantined ? QUARANTINE_MS : FIRST_QUARANTINE_MS);
   return {crashes: own.length, until};
 }
 
-/** Those found first explain their crashes; the rest is weighed without these. */
+/**
+ * Selects the candidates that caused crashes. The crashes of each cause found are
+ * explained, and the other candidates are weighed without them.
+ */
 function selectCauses(
   candidates: readonly string[],
   crashes: readonly Crash[],
@@ -118,23 +132,24 @@
 }
 
 /**
- * Whether an answer clears a content of a crash: it came later, or so little before
- * that the content, which many may ask for, ran beside the cause.
+ * Whether an answer clears a content of a crash. It does if it came later, or less
+ * than ANSWER_VALIDITY_MS before: several callers may request the same content, and
+ * one that was just answered is unlikely to be the cause.
  */
 export function isCleared(
   {endedAt}: CrashRecord,
   answeredAt: number | undefined,
 ): boolean {
-  return answeredAt !== undefined && endedAt - answeredAt < ANSWER_MEMORY_MS;
+  return answeredAt !== undefined && endedAt - answeredAt < ANSWER_VALIDITY_MS;
 }
 
-/** Contents whose last crash is too old count no more. */
+/** Selects the records of contents whose last crash still counts. */
 export function selectCounting<Item extends CrashRecord>(
   records: readonly Item[],
   now: number,
 ): Item[] {
   return [...groupBy(records, ({content}) => content).values()]
-    .filter(own => own.some(({endedAt}) => endedAt + HOLD_MS > now))
+    .filter(own => own.some(({endedAt}) => endedAt + QUARANTINE_MS > now))
     .flat();
 }
 
@@ -178,12 +193,12 @@
   const leads = crashes
     .filter(({contents}) => contents.has(content))
     .map(({contents}) => compareToOthers(content, contents, weights));
-  if (leads.filter(lead => lead > 0).length >= LEAD_LIMIT) return true;
+  if (leads.filter(lead => lead > 0).length >= MIN_LEADS) return true;
   const isTied = leads.every(lead => lead >= 0);
   return isTied && (weights.get(content) ?? 0) >= TIE_WEIGHT;
 }
 
-/** Above 0 where it weighs more than all others that were lost. */
+/** Returns a value above 0 if the content weighs more than all others lost. */
 function compareToOthers(
   content: string,
   contents: Crash['contents'],
--- a/src/decisions/instance_ranking.test.ts
+++ b/src/decisions/instance_ranking.test.ts
@@ -17,7 +17,7 @@
 );
 
 describe('instance ranking', () => {
-  it('gives the same order whatever the order of the list', () => {
+  it('does not depend on the order of the list', () => {
     const fleet = makeFleet(10);
     assert.deepEqual(
       rankByRendezvous('a', fleet),
@@ -30,7 +30,7 @@
   });
 
   for (const size of [10, 360]) {
-    it(`moves about 1/${size} of the keys when one of ${size} comes or goes`, t => {
+    it(`moves about 1/${size} of the keys when one of ${size} instances changes`, t => {
       const fleet = makeFleet(size);
       const share = measureMovedShare(KEYS, fleet, fleet.slice(1));
       t.diagnostic(`moved ${(100 * share).toFixed(2)}% of ${KEYS.length} keys`);
@@ -39,7 +39,7 @@
     });
   }
 
-  it('moves only the keys of the instance that went', () => {
+  it('moves only the keys of the instance that left', () => {
     const fleet = makeFleet(10);
     const rest = fleet.slice(1);
     for (const key of KEYS.slice(0, 500)) {
@@ -49,7 +49,7 @@
     }
   });
 
-  it('puts every other instance on the ring once', () => {
+  it('puts every other instance on the ring exactly once', () => {
     const ring = orderRing('entry-3', makeFleet(10));
     assert.equal(new Set(ring.map(({name}) => name)).size, 9);
   });
--- a/src/decisions/instance_ranking.ts
+++ b/src/decisions/instance_ranking.ts
@@ -1,16 +1,15 @@
 /**
- * Which instance is responsible for a key, by rendezvous hashing.
+ * Decides which instance is responsible for a key, by rendezvous hashing.
  *
  * Load pattern: instances come and go all day (740 restarts a day at 360
- * instances) while requests for the same bucket or pool arrive everywhere.
- * Without it, each change would move most keys (as `hash modulo count` does),
- * and buckets and queues would be rebuilt everywhere at once. With it, a change
- * moves only the keys of the instance that came or went, 1/n of them; the test
- * measures that share.
+ * instances) while requests for the same bucket or pool arrive everywhere. With a
+ * scheme such as `hash modulo count`, each change moves most keys, and buckets and
+ * queues are rebuilt everywhere at once. Rendezvous hashing moves only the keys of
+ * the instance that came or went, 1/n of all; the test measures that share.
  */
 import murmurhash from 'murmurhash';
 
-/** Something that can be responsible for keys. */
+/** A candidate that can be responsible for keys. */
 export interface Ranked {
   name: string;
 }
@@ -18,8 +17,8 @@
 const nameHashes = new WeakMap<Ranked, number>();
 
 /**
- * Hash of a candidate's name, worked out once for each object: hashing 360
- * names anew for each request would take longer than the request's decision.
+ * Returns the hash of a candidate's name, computed once for each object. Hashing
+ * 360 names for each request would take longer than the decision itself.
  */
 function getNameHash(candidate: Ranked): number {
   const held = nameHashes.get(candidate);
@@ -29,7 +28,7 @@
   return hash;
 }
 
-/** Weight of a candidate for a hashed key: MurmurHash3's finalizer of both. */
+/** Combines the hashes of key and candidate with MurmurHash3's finalizer. */
 function computeWeight(keyHash: number, candidate: Ranked): number {
   let mixed = keyHash ^ Math.imul(getNameHash(candidate), 0x9e3779b1);
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
@@ -37,7 +36,7 @@
   return (mixed ^ (mixed >>> 16)) >>> 0;
 }
 
-/** Candidates by preference for `key`, the responsible one first. */
+/** Sorts candidates by rank for `key`, the responsible one first. */
 export function rankByRendezvous<Candidate extends Ranked>(
   key: string,
   candidates: readonly Candidate[],
@@ -52,7 +51,7 @@
     .map(({candidate}) => candidate);
 }
 
-/** The responsible candidate alone: one pass, without sorting. */
+/** Returns only the responsible candidate, in one pass without sorting. */
 export function chooseByRendezvous<Candidate extends Ranked>(
   key: string,
   candidates: readonly Candidate[],
@@ -72,46 +71,46 @@
 }
 
 /**
- * Among the instances that run longest, those started later than the median by
- * no more than this, in ms, count as well: wall clocks differ by up to 2 s, and
- * a fleet starts within 3.
+ * Instances that started at most this long after the median count as settled, in
+ * ms. Wall clocks differ by up to 2 s, and a fleet starts within 3 s.
  */
-export const SETTLED_SPREAD_MS = 5000;
+export const SETTLED_START_TOLERANCE_MS = 5000;
 
-/** Of the strongest instance's cores, what work for all needs. */
+/** Share of the strongest instance's cores that fleet-wide work requires. */
 export const MIN_CAPACITY_SHARE = 0.5;
 
 /**
- * Candidates for work whose state is lost with the instance (queues, buckets).
+ * Selects the candidates for work whose state is lost with its instance, such as
+ * queues and buckets.
  *
- * Load pattern: instances restart one after the other while requests arrive.
- * By rank alone, an instance that restarts loses its work and takes it back a
- * second later, with empty hands: two handovers for each restart. Those that
- * started later than most are left out, by start times alone, so that all
- * views agree and nobody's place changes as time passes. After a restart of
- * the whole fleet nobody is left out.
+ * Load pattern: instances restart one after the other while requests arrive. By
+ * rank alone, a restarting instance loses its work and takes it back a second later
+ * without the state, which makes two handovers for each restart. So instances that
+ * started later than most are left out. This depends only on start times, so that
+ * all instances agree and the result does not change as time passes. After a
+ * restart of the whole fleet, no instance is left out.
  *
- * Instances with less than MIN_CAPACITY_SHARE of the strongest one's cores are
- * left out as well: a dispatcher decides for every request of its pool, and on
- * a third of a core each decision would wait for the one before.
+ * Instances with less than MIN_CAPACITY_SHARE of the strongest one's cores are left
+ * out as well. A dispatcher decides for every request of its pool, and on a third
+ * of a core each decision would wait for the previous one.
  */
 export function selectSettled<
   Candidate extends {startedAt?: number; capacity?: number},
 >(candidates: readonly Candidate[]): readonly Candidate[] {
   const strongest = Math.max(...candidates.map(({capacity = 1}) => capacity));
-  const able = candidates.filter(
+  const capable = candidates.filter(
     ({capacity = 1}) => capacity >= MIN_CAPACITY_SHARE * strongest,
   );
-  const starts = able
+  const starts = capable
     .map(({startedAt}) => startedAt ?? 0)
     .sort((a, b) => a - b);
   const median = starts[Math.floor((starts.length - 1) / 2)] ?? 0;
-  return able.filter(
-    ({startedAt = 0}) => startedAt <= median + SETTLED_SPREAD_MS,
+  return capable.filter(
+    ({startedAt = 0}) => startedAt <= median + SETTLED_START_TOLERANCE_MS,
   );
 }
 
-/** Share of `keys` whose responsible candidate differs between two fleets. */
+/** Returns the share of `keys` whose responsible candidate differs. */
 export function measureMovedShare(
   keys: readonly string[],
   before: readonly Ranked[],
@@ -126,8 +125,8 @@
 }
 
 /**
- * The ring of heartbeats: candidates in the order of their hash, beginning
- * after `name`. Neighbours on it are unrelated to neighbours in a rack.
+ * Orders the other candidates by hash for the ring of heartbeats, starting after
+ * `name`. Neighbours on the ring are unrelated to neighbours in a rack.
  */
 export function orderRing<Candidate extends Ranked>(
   name: string,
--- a/src/decisions/mechanisms.ts
+++ b/src/decisions/mechanisms.ts
@@ -1,38 +1,38 @@
 /**
- * The scheduler's mechanisms by name, each of which can be switched off, so
- * that `npm run measure -- --ablate` shows what each is worth. Operators cannot
- * reach these switches: the product runs with all of them on.
+ * The scheduler's mechanisms by name. Each can be switched off, so that
+ * `npm run measure -- --ablate` shows its effect. Operators cannot change them: in
+ * production all mechanisms are on.
  */
 
-/** Whether each mechanism is at work. */
+/** Which mechanisms are on. */
 export interface Mechanisms {
-  /** Turns between accounts; off: one queue by deadline. */
+  /** Fair shares of accounts; if off, one queue by deadline. */
   fairShares: boolean;
-  /** Refusal of what cannot be in time; off: everything waits. */
+  /** Refusal of requests that cannot be in time; if off, all of them wait. */
   admission: boolean;
-  /** Choice by predicted first token; off: fewest requests. */
+  /** Choice by predicted first token; if off, by the fewest running requests. */
   prediction: boolean;
-  /** Cached prefixes count in the prediction. */
+  /** The prediction takes cached prefixes into account. */
   prefixAffinity: boolean;
-  /** Little prefill in advance inside engines; off: as many as have slots. */
+  /** Bounded prefill inside engines; if off, bounded only by their slots. */
   backlogBound: boolean;
-  /** Limits learned below the document's. */
+  /** Learned concurrency limits below the document's. */
   learnedLimit: boolean;
-  /** Slow, failing and silent endpoints get no new work. */
+  /** Ejection of slow, failing and silent endpoints. */
   ejection: boolean;
-  /** Endpoints that fail a part of their requests count as failing. */
+  /** Ejection of endpoints that fail a large share of their requests. */
   failureShares: boolean;
   /** Endpoints kept free of batch prefill. */
   quietEndpoints: boolean;
-  /** Slots kept free of batch work. */
+  /** Slots kept free of batch items. */
   headroom: boolean;
-  /** Batch items stop when questions need their slots. */
+  /** Yields of batch items when online requests need their slots. */
   slotYields: boolean;
-  /** Requests that can be in time go before those that cannot any more. */
+  /** Requests that can be in time go before those that no longer can. */
   overdueLast: boolean;
 }
 
-/** What the product runs with. */
+/** The configuration in production. */
 export const ALL_MECHANISMS: Readonly<Mechanisms> = {
   fairShares: true,
   admission: true,
--- a/src/decisions/model_placement.test.ts
+++ b/src/decisions/model_placement.test.ts
@@ -1,4 +1,4 @@
-/** Which endpoints change their model. */
+/** Tests which endpoints change their model. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
@@ -24,7 +24,7 @@
     assert.equal(planModelMoves(placed, demand, 8).length, 2);
   });
 
-  it('gives a model nobody serves its first endpoint', () => {
+  it('moves an endpoint to a model that has none', () => {
     const placed = makePlaced(['a', 'a']);
     const demand = new Map([
       ['a', 100],
@@ -33,9 +33,10 @@
     assert.equal(planModelMoves(placed, demand, 2)[0]?.to, 'b');
   });
 
-  // Demand sways around equal shares. Each sway would cost two loads of a
-  // minute each, and the model moved away from would be short a minute later.
-  it('moves nothing for a small sway of demand', () => {
+  // Guards against repeated moves when demand fluctuates around equal shares: each
+  // fluctuation would cost two loads of a minute each, and a minute later the model
+  // that lost its endpoint would lack one.
+  it('moves nothing for a small fluctuation of demand', () => {
     const placed = makePlaced(['a', 'a', 'a', 'b', 'b', 'b']);
     const demand = new Map([
       ['a', 55],
@@ -50,7 +51,7 @@
     assert.deepEqual(planModelMoves(placed, new Map([['b', 1]]), 1), []);
   });
 
-  it('comes to rest and leaves no model in demand without an endpoint', () => {
+  it('becomes stable and leaves no model in demand without an endpoint', () => {
     fc.assert(
       fc.property(
         fc.array(fc.constantFrom('a', 'b', 'c'), {minLength: 4, maxLength: 20}),
--- a/src/decisions/model_placement.ts
+++ b/src/decisions/model_placement.ts
@@ -1,27 +1,29 @@
 /**
- * Which endpoints should change the model they serve, and which of them now.
+ * Decides which endpoints should change the model they serve, and which of them do
+ * so now.
  *
- * Pattern of load: demand moves between models over minutes. Without moves one
- * model's endpoints saturate beside idle ones; with a move for every swing,
- * endpoints spend their time loading weights, and all of them at once exhaust
- * the weight store's rate, so that each load takes many times as long.
+ * Load pattern: demand moves between models over minutes. Without moves, the
+ * endpoints of one model are saturated beside idle ones. With a move for every
+ * fluctuation, endpoints spend their time loading weights, and if all load at once
+ * they exhaust the rate of the weight store, so that each load takes many times as
+ * long.
  *
- * - Each model in demand keeps at least one endpoint; the rest are shared out
- *   by demand, the largest remainder first.
- * - A move pays only when the model that gains is short by MOVE_GAIN of an
- *   endpoint: a load takes about a minute, and demand that sways by less would
- *   move the same endpoint back and forth.
- * - At most `budget` loads are under way at once, the rest wait their turn; an
- *   endpoint that is loading is not moved again.
+ * - Each model in demand keeps at least one endpoint. The others are distributed by
+ *   demand, the largest remainder first.
+ * - An endpoint is moved only if the model that gains it lacks at least MIN_MOVE_GAIN of
+ *   an endpoint. A load takes about a minute, and smaller fluctuations would move
+ *   the same endpoint back and forth.
+ * - At most `budget` loads run at once, and further ones wait. An endpoint that is
+ *   loading is not moved again.
  */
 
-/** Endpoints a model must be short of before one is moved to it. */
-export const MOVE_GAIN = 0.75;
+/** Minimum shortage of endpoints of a model before one is moved to it. */
+export const MIN_MOVE_GAIN = 0.75;
 
-/** An endpoint as its model goes. */
+/** An endpoint and its model. */
 export interface PlacedModel {
   endpoint: string;
-  /** Model it serves or is loading; empty when none. */
+  /** Model that it serves or is loading; empty if none. */
   model: string;
   isLoading: boolean;
 }
@@ -33,7 +35,7 @@
   to: string;
 }
 
-/** `demand` is work a second by model, in any unit common to all. */
+/** Plans moves; `demand` is the work per second by model, in any common unit. */
 export function planModelMoves(
   placed: readonly PlacedModel[],
   demand: ReadonlyMap<string, number>,
@@ -45,9 +47,9 @@
   const moves: ModelMove[] = [];
   let room = budget - (placed.length - movable.length);
   for (; room > 0; room--) {
-    const to = findShortest(shares, counts);
+    const to = findModelInShortage(shares, counts);
     if (to === undefined) break;
-    const index = findGiver(movable, shares, counts, to);
+    const index = findDonor(movable, shares, counts, to);
     if (index < 0) break;
     const [{endpoint, model: from}] = movable.splice(index, 1);
     moves.push({endpoint, from, to});
@@ -57,7 +59,7 @@
   return moves;
 }
 
-/** Endpoints each model should have: one for each in demand, then by demand. */
+/** Computes the endpoints each model should have: one, and a share by demand. */
 function computeShares(
   endpoints: number,
   demand: ReadonlyMap<string, number>,
@@ -76,32 +78,32 @@
   return counts;
 }
 
-/** The model that is short by the most, if by enough to pay for a load. */
-function findShortest(
+/** Returns the model with the largest shortage, if it is worth a load. */
+function findModelInShortage(
   shares: ReadonlyMap<string, number>,
   counts: ReadonlyMap<string, number>,
 ): string | undefined {
-  let shortest: string | undefined;
+  let chosen: string | undefined;
   let most = 0;
   for (const [model, share] of shares) {
     const count = counts.get(model) ?? 0;
     const short = share - count;
-    const isEnough = short >= MOVE_GAIN || count === 0;
+    const isEnough = short >= MIN_MOVE_GAIN || count === 0;
     if (!isEnough || short <= most) continue;
-    shortest = model;
+    chosen = model;
     most = short;
   }
-  return shortest;
+  return chosen;
 }
 
-/** The endpoint whose model can spare it best; -1 when none can. */
-function findGiver(
+/** Returns the index of an endpoint of the largest surplus; -1 if there is none. */
+function findDonor(
   movable: readonly PlacedModel[],
   shares: ReadonlyMap<string, number>,
   counts: ReadonlyMap<string, number>,
   to: string,
 ): number {
-  let giver = -1;
+  let donor = -1;
   let most = -Infinity;
   movable.forEach(({model}, index) => {
     const share = shares.get(model) ?? 0;
@@ -110,8 +112,8 @@
     const isLast = share > 0 && counts.get(model) === 1;
     const isFull = (counts.get(to) ?? 0) > 0 && surplus <= 0;
     if (model === to || isLast || isFull || surplus <= most) return;
-    giver = index;
+    donor = index;
     most = surplus;
   });
-  return giver;
+  return donor;
 }
--- a/src/decisions/rate_bucket.ts
+++ b/src/decisions/rate_bucket.ts
@@ -1,20 +1,20 @@
 /**
- * The token bucket of one client account, kept by its holder.
+ * The token bucket of one client account, maintained by its holder.
  *
- * Load pattern: one account's requests arrive at many instances at once, now
- * and then at several times its rate. Dividing the rate over instances refuses
- * most of an unevenly spread account's requests although it is inside its rate;
- * not dividing it lets every instance spend the whole. So one bucket is kept,
- * and instances draw a token for each request.
+ * Load pattern: requests of one account arrive at many instances at once, at times
+ * at several times its rate. If the rate is divided among the instances, an account
+ * with unevenly distributed requests has most of them refused although it is within
+ * its rate. If it is not divided, every instance spends the whole rate. So there is
+ * one bucket, and instances draw a token from it for each request.
  *
- * What it keeps: tokens + grants that may still be unspent <= burst. So over
- * any window the fleet spends at most what was unspent at its start, <= burst,
- * and what was earned in it, <= rate x t. Thresholds are in rate_constants.ts.
+ * Invariant: tokens + grants that may still be unspent <= burst. So in any window
+ * the fleet spends at most what was unspent at its start (<= burst) and what was
+ * earned in it (<= rate x t). Thresholds are in rate_constants.ts.
  *
- * A token may be granted before it is earned, with the delay until it is: the
- * caller waits up to MAX_TOKEN_DELAY_MS in line instead of being refused and
- * asking again. Such grants are limited to a burst in all, which keeps earning
- * from being blocked while a debt is open; each is then earned when due.
+ * A token may be granted before it is earned, together with the delay until then.
+ * The caller waits up to MAX_TOKEN_DELAY_MS instead of being refused and retrying.
+ * Such grants are limited to one burst in total, so that an open debt does not
+ * block earning; each of them is earned when it is due.
  */
 import {
   CLOCK_MARGIN_MS,
@@ -22,42 +22,42 @@
   MAX_TOKEN_DELAY_MS,
 } from './rate_constants.js';
 
-/** Rate and burst of a document's version. */
+/** Rate and burst from one version of a document. */
 export interface BucketLimits {
   version: number;
-  /** Tokens a second. */
+  /** Tokens per second. */
   rate: number;
   burst: number;
 }
 
-/** Tokens lent to one instance; all are spent or settled within a lifetime. */
+/** Tokens lent to one instance, spent or settled within GRANT_LIFETIME_MS. */
 export interface BucketGrant {
-  /** Names the grant when it is settled. */
+  /** Identifies the grant when it is settled. */
   id: number;
   /** Tokens that may be spent at once. */
   immediate: number;
-  /** Tokens that may be spent later, one after another. */
+  /** Tokens that may be spent later, one after the other. */
   delayed: number;
-  /** When the first delayed one is earned, from now. */
+  /** Time until the first delayed token is earned. */
   firstDelayMs: number;
-  /** Time between two delayed ones. */
+  /** Time between two delayed tokens. */
   spacingMs: number;
-  /** When to ask again for tokens that were not granted. */
+  /** Time after which to ask again for tokens that were not granted. */
   retryAfterMs: number;
 }
 
-/** A bucket under way. Every method takes the holder's monotonic time. */
+/** An active bucket. All times are of the holder's monotonic clock, in ms. */
 export interface RateBucket {
-  /** Takes the limits of a newer version; older ones are ignored. */
+  /** Applies the limits of a newer version; older versions are ignored. */
   setLimits(limits: BucketLimits, now: number): void;
   draw(wanted: number, now: number): BucketGrant;
-  /** The grant is finished; `unspent` of its tokens come back. */
+  /** Finishes a grant and returns its `unspent` tokens to the bucket. */
   settle(grantId: number, unspent: number, now: number): void;
-  /** For the holder after this one. */
+  /** Returns the level that is handed to the next holder. */
   readLevel(now: number): BucketLevel;
-  /** Sets tokens aside for a successor; returns how many are set aside. */
+  /** Reserves tokens for a successor; returns how many are reserved in total. */
   reserve(wanted: number, now: number): number;
-  /** Takes tokens back that were set aside. */
+  /** Returns all reserved tokens to the bucket. */
   releaseReserve(now: number): void;
   readonly reserved: number;
   describe(now: number): object;
@@ -70,14 +70,14 @@
 
 const ROUNDING = 1e-6;
 
-/** What a bucket starts with. */
+/** The level at which a bucket starts. */
 export interface BucketLevel {
   tokens: number;
-  /** Lent by the holder before and perhaps not spent yet. */
+  /** Tokens that the previous holder lent and that may still be unspent. */
   lent: number;
 }
 
-/** Starts with `level` at `now`. */
+/** Creates a bucket with `level` at time `now`. */
 export function createRateBucket(
   initial: BucketLimits,
   level: BucketLevel,
@@ -93,7 +93,7 @@
   if (level.lent > 0) grantTokens(level.lent, now);
   tokens += level.lent;
 
-  /** Grants expire in the order they were made: all live equally long. */
+  /** Grants expire in the order of their creation, as all have the same lifetime. */
   function expireGrants(at: number) {
     for (const [id, grant] of grants) {
       if (grant.expiresAt > at) return;
@@ -103,8 +103,8 @@
   }
 
   /**
-   * What is lent or set aside leaves no room: earning for it as well would let
-   * a burst of old grants meet a full bucket.
+   * Adds earned tokens. Lent and reserved tokens count as part of the burst. If they
+   * did not, old grants of up to a burst could be spent in addition to a full bucket.
    */
   function refill(at: number) {
     const earned = (Math.max(0, at - filledAt) / 1000) * limits.rate;
@@ -114,7 +114,7 @@
     expireGrants(at);
   }
 
-  /** Of `wanted` more, when `taken` are granted at once. */
+  /** Counts how many of `wanted` more may be delayed when `taken` are immediate. */
   function countDelayed(wanted: number, taken: number): number {
     const debt = (limits.rate * MAX_TOKEN_DELAY_MS) / 1000;
     const earnedSoon = Math.floor(tokens - taken + debt + ROUNDING);
@@ -147,8 +147,8 @@
     },
     draw(wanted, at) {
       refill(at);
-      const inHand = Math.max(0, Math.floor(tokens + ROUNDING));
-      const immediate = Math.min(wanted, inHand);
+      const available = Math.max(0, Math.floor(tokens + ROUNDING));
+      const immediate = Math.min(wanted, available);
       const delayed = countDelayed(wanted - immediate, immediate);
       const spacingMs = 1000 / limits.rate;
       const firstDelayMs = Math.max(0, (1 - (tokens - immediate)) * spacingMs);
@@ -170,9 +170,9 @@
     },
     reserve(wanted, at) {
       refill(at);
-      const moved = Math.min(wanted, Math.max(0, Math.floor(tokens)));
-      tokens -= moved;
-      reserved += moved;
+      const reservedNow = Math.min(wanted, Math.max(0, Math.floor(tokens)));
+      tokens -= reservedNow;
+      reserved += reservedNow;
       return reserved;
     },
     releaseReserve(at) {
--- a/src/decisions/rate_constants.ts
+++ b/src/decisions/rate_constants.ts
@@ -1,41 +1,41 @@
-/** Constants of fleet-wide rates. Times in ms. */
+/** Constants of fleet-wide rate limits. Times are in ms. */
 
 /**
- * A token must be spent this long after its instance asked for it. Long enough
- * for a delayed token and a slow answer; short, as a token whose fate is
- * unknown counts against the burst for as long.
+ * Time after the request for a token in which it must be spent. It covers a delayed
+ * token and a slow response. It is short because a token counts against the burst
+ * for as long as nobody knows whether it was spent.
  */
 export const GRANT_LIFETIME_MS = 600;
 
 /**
- * The holder counts a grant as possibly unspent for this much longer than its
- * instance may spend it, so that clocks of different speed do no harm.
+ * Extra time for which the holder counts a grant as unspent after its instance may
+ * no longer spend it. It tolerates clocks that run at different speeds.
  */
 export const CLOCK_MARGIN_MS = 50;
 
-/** Longest wait for a token that is not yet earned. */
+/** Longest wait for a token that is not earned yet. */
 export const MAX_TOKEN_DELAY_MS = 300;
 
 /**
- * A standby promises for this long not to take over. Half of it is the longest
- * that a holder's loss keeps callers waiting on average.
+ * Duration of a standby's promise not to take over. After the loss of a holder,
+ * callers wait at most half of it on average.
  */
 export const PROMISE_MS = 1600;
 
-/** Renewed this often: two renewals may be lost without any harm. */
+/** Interval of promise renewals; two consecutive ones may be lost. */
 export const PROMISE_RENEWAL_MS = 400;
 
-/** Longest wait of a caller while its bucket changes hands. */
+/** Longest wait of a caller while its bucket moves to another holder. */
 export const MAX_TAKEOVER_WAIT_MS = 3000;
 
-/** Callers of one bucket waiting on one instance, at the most. */
+/** Maximum number of callers of one bucket that wait on one instance. */
 export const MAX_WAITING = 512;
 
-/** An instance that was refused asks again after this long at the latest. */
-export const MAX_REFUSAL_MEMORY_MS = 100;
+/** Longest time for which an instance remembers a refusal before asking again. */
+export const MAX_REFUSAL_CACHE_MS = 100;
 
-/** After a takeover callers wait longer, as the new holder starts empty. */
+/** Time after a takeover in which callers wait longer, as the bucket starts empty. */
 export const RECOVERY_MS = 10_000;
 
-/** Most tokens asked for in one message. */
+/** Maximum number of tokens requested in one message. */
 export const MAX_DRAW = 512;
--- a/src/decisions/rate_member.ts
+++ b/src/decisions/rate_member.ts
@@ -1,23 +1,23 @@
 /**
- * Requests of one account that wait on one instance for tokens of its bucket.
+ * Queues the requests of one account that wait on one instance for tokens of its
+ * bucket.
  *
- * Load pattern: many requests at once, an account over its rate, and a holder
- * that is lost while requests wait. Without it each request asks the holder by
- * itself, an account at five times its rate costs five messages for one answer,
- * and every request that meets the change of a holder is refused. Here one
- * message is under way at a time and asks for all that wait; a refusal is
- * remembered until the next token is due; while the bucket changes hands
- * requests wait a bounded time.
+ * Load pattern: many simultaneous requests, an account above its rate, and a holder
+ * that is lost while requests wait. Without this queue, each request asks the holder
+ * by itself, an account at five times its rate costs five messages for each answered
+ * request, and every request that arrives during a change of holder is refused.
  *
- * A request is refused as soon as it is clear that it will get no token in
- * time: nobody is held back longer than that.
+ * At most one message is in flight at a time and asks for all waiting requests. A
+ * refusal is remembered until the next token is due. While the bucket moves to
+ * another holder, requests wait for a bounded time. A request is refused as soon as
+ * it is certain that it gets no token in time.
  */
 import type {BucketGrant} from './rate_bucket.js';
 import {
   CLOCK_MARGIN_MS,
   GRANT_LIFETIME_MS,
   MAX_DRAW,
-  MAX_REFUSAL_MEMORY_MS,
+  MAX_REFUSAL_CACHE_MS,
   MAX_TAKEOVER_WAIT_MS,
   MAX_WAITING,
 } from './rate_constants.js';
@@ -25,28 +25,28 @@
 /** Why a request was refused. */
 export type RateRefusal = 'over-rate' | 'holder-unavailable';
 
-/** What the instance must do. */
+/** An action that the instance must carry out. */
 export type MemberAction =
   /** Ask the holder for tokens. */
   | {kind: 'draw'; wanted: number}
   | {kind: 'grant'; id: number}
   | {kind: 'refuse'; id: number; reason: RateRefusal; retryAfterMs: number}
-  /** Tell the holder that a grant is finished. */
+  /** Notify the holder that a grant is finished. */
   | {kind: 'settle'; grantId: number; unspent: number};
 
-/** The holder's answer, or that there was none. */
+/** The holder's response, or `unavailable` if there was none. */
 export type DrawAnswer =
   | {kind: 'granted'; grant: BucketGrant; recovering: boolean}
   | {kind: 'unavailable'; retryAfterMs: number};
 
-/** Requests waiting for tokens of one bucket. */
+/** The requests on one instance that wait for tokens of one bucket. */
 export interface RateMember {
   submit(id: number, now: number): MemberAction[];
-  /** `askedAt` is when the draw was sent. */
+  /** Records the response to a draw that was sent at `askedAt`. */
   noteAnswer(answer: DrawAnswer, askedAt: number, now: number): MemberAction[];
-  /** Time has passed. */
+  /** Makes the decisions that depend on time. */
   decide(now: number): MemberAction[];
-  /** When `decide` has something to do next. */
+  /** Returns when `decide` must be called next; undefined if it need not. */
   peekNext(): number | undefined;
   isIdle(): boolean;
 }
@@ -68,15 +68,15 @@
   unspent: number;
 }
 
-/** Starts with nothing waiting. */
+/** Creates an empty queue. */
 export function createRateMember(): RateMember {
   let waiting: Waiting[] = [];
   let delayed: DelayedToken[] = [];
-  let drawing = false;
+  let isDrawing = false;
   let askedFor = 0;
   let drawAt: number | undefined;
   let refusedUntil = -Infinity;
-  let unavailable = false;
+  let isUnavailable = false;
 
   function refuse(
     {id}: Waiting,
@@ -87,8 +87,8 @@
   }
 
   function planDraw(): MemberAction[] {
-    if (drawing || waiting.length === 0) return [];
-    drawing = true;
+    if (isDrawing || waiting.length === 0) return [];
+    isDrawing = true;
     drawAt = undefined;
     askedFor = Math.min(waiting.length, MAX_DRAW);
     return [{kind: 'draw', wanted: askedFor}];
@@ -101,7 +101,7 @@
     return [{kind: 'settle', grantId: grant.id, unspent: grant.unspent}];
   }
 
-  /** A token past its lifetime is dead: its request waits for another. */
+  /** Uses a token that is due. If it has expired, its request waits for another. */
   function finishDelayed(token: DelayedToken, now: number): MemberAction[] {
     const {id, arrivedAt, grant} = token;
     if (now <= token.expiresAt) {
@@ -111,7 +111,7 @@
     return finishToken(grant, false);
   }
 
-  function placeTokens(
+  function assignTokens(
     granted: BucketGrant,
     askedAt: number,
     now: number,
@@ -139,7 +139,7 @@
     return actions;
   }
 
-  /** Those left over wait only for a holder that has just taken over. */
+  /** Requests without a token wait only if the holder has just taken over. */
   function noteShortage(
     retryAfterMs: number,
     recovering: boolean,
@@ -151,7 +151,7 @@
       drawAt = now + retryAfterMs;
       return [];
     }
-    refusedUntil = now + Math.min(retryAfterMs, MAX_REFUSAL_MEMORY_MS);
+    refusedUntil = now + Math.min(retryAfterMs, MAX_REFUSAL_CACHE_MS);
     const left = waiting.splice(0, asked);
     return left.map(one => refuse(one, 'over-rate', retryAfterMs));
   }
@@ -162,7 +162,7 @@
     );
     if (overdue.length === 0) return [];
     waiting = waiting.filter(one => !overdue.includes(one));
-    const reason = unavailable ? 'holder-unavailable' : 'over-rate';
+    const reason = isUnavailable ? 'holder-unavailable' : 'over-rate';
     return overdue.map(one => refuse(one, reason, 1000));
   }
 
@@ -180,22 +180,22 @@
         return [refuse(one, 'over-rate', refusedUntil - now)];
       }
       if (waiting.length >= MAX_WAITING) {
-        const reason = unavailable ? 'holder-unavailable' : 'over-rate';
+        const reason = isUnavailable ? 'holder-unavailable' : 'over-rate';
         return [refuse(one, reason, 1000)];
       }
       waiting.push(one);
       return drawAt === undefined ? planDraw() : [];
     },
     noteAnswer(answer, askedAt, now) {
-      drawing = false;
-      unavailable = answer.kind === 'unavailable';
+      isDrawing = false;
+      isUnavailable = answer.kind === 'unavailable';
       const actions: MemberAction[] = [];
       if (answer.kind === 'unavailable') {
         drawAt = now + answer.retryAfterMs;
       } else {
         const {grant, recovering} = answer;
         const count = grant.immediate + grant.delayed;
-        actions.push(...placeTokens(grant, askedAt, now));
+        actions.push(...assignTokens(grant, askedAt, now));
         const short = askedFor - count;
         actions.push(
           ...noteShortage(grant.retryAfterMs, recovering, short, now),
@@ -219,6 +219,6 @@
       }
       return times.length > 0 ? Math.min(...times) : undefined;
     },
-    isIdle: () => waiting.length === 0 && delayed.length === 0 && !drawing,
+    isIdle: () => waiting.length === 0 && delayed.length === 0 && !isDrawing,
   };
 }
--- a/src/decisions/rate_share.test.ts
+++ b/src/decisions/rate_share.test.ts
@@ -1,15 +1,15 @@
-/** An account at several times its rate, through owners that come and go. */
+/** Tests an account at several times its rate while its owners change. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createShareBucket, type ShareBucket} from './rate_share.js';
 
 const LIMITS = {rate: 20, burst: 20};
 const WINDOW_MS = 5000;
-/** What the agreement lets through in a window, in requests. */
-const AGREED = (LIMITS.rate * 5 + LIMITS.burst) * 1.1 + 20;
+/** Maximum number of requests that the agreement allows in a window. */
+const MAX_AGREED_REQUESTS = (LIMITS.rate * 5 + LIMITS.burst) * 1.1 + 20;
 
-/** Asks every 10 ms from `from` to `to`; returns the times of grants. */
-function askOften(
+/** Requests a token every 10 ms from `from` to `to`; returns the grant times. */
+function drawOften(
   bucket: ShareBucket,
   {from, to, share = 1, since = from}: Record<string, number>,
 ): number[] {
@@ -20,7 +20,7 @@
   return granted;
 }
 
-/** Takes all there is; returns when to come back, in ms. */
+/** Takes all tokens; returns the retry delay in ms. */
 function drainAt(bucket: ShareBucket, now: number): number {
   for (;;) {
     const retryAfterMs = bucket.take(LIMITS, 1, 0, now);
@@ -41,50 +41,50 @@
 
 describe('an account far over its rate', () => {
   it('gets its burst and its rate from one owner', () => {
-    const granted = askOften(createShareBucket(), {
+    const granted = drawOften(createShareBucket(), {
       from: 10_000,
       to: 20_000,
       since: 0,
     });
-    // The last question comes 10 ms before ten seconds are full.
+    // The last request comes 10 ms before the end of the 10 s.
     const earned = Math.floor(9.99 * LIMITS.rate);
     assert.equal(granted.length, LIMITS.burst + earned);
   });
 
-  it('stays within the agreement while owners follow each other', () => {
-    // Other accounts would wait for slots that this one takes beyond its rate.
-    // Three owners are lost within one window; each new one starts with a
-    // tenth of the burst, because it cannot know what was granted before.
+  it('stays within the agreement while its owner changes repeatedly', () => {
+    // Guards against excess load after lost owners, which other accounts would
+    // wait behind. Three owners are lost within one window; each new one starts
+    // with a tenth of the burst, as it cannot know the earlier grants.
     const granted = [0, 1200, 2400, 3600].flatMap(from =>
-      askOften(createShareBucket(), {from, to: from + 1200}),
+      drawOften(createShareBucket(), {from, to: from + 1200}),
     );
-    assert.ok(countMostInWindow(granted) <= AGREED);
+    assert.ok(countMostInWindow(granted) <= MAX_AGREED_REQUESTS);
   });
 
-  it('stays within the agreement while two sides are apart', () => {
-    // Six of ten instances see each other, four others each decide alone: the
-    // shares of all add up to the whole rate and burst.
-    const owner = askOften(createShareBucket(), {
+  it('stays within the agreement during a network partition', () => {
+    // Guards against each side granting the whole rate. Six of ten instances see
+    // each other, four others decide alone; their shares add up to one.
+    const owner = drawOften(createShareBucket(), {
       from: 0,
       to: 9000,
       share: 0.6,
     });
     const alone = Array.from({length: 4}, () =>
-      askOften(createShareBucket(), {from: 0, to: 9000, share: 0.1}),
+      drawOften(createShareBucket(), {from: 0, to: 9000, share: 0.1}),
     );
     const all = [...owner, ...alone.flat()];
-    assert.ok(countMostInWindow(all) <= AGREED);
+    assert.ok(countMostInWindow(all) <= MAX_AGREED_REQUESTS);
     assert.ok(all.length >= 9 * LIMITS.rate * 0.9);
   });
 
-  it('is told when the next request will be inside its rate', () => {
+  it('gets a retry delay after which its next request is within its rate', () => {
     const bucket = createShareBucket();
     const retryAfterMs = drainAt(bucket, 2000);
     assert.ok(retryAfterMs > 0 && retryAfterMs <= 1000 / LIMITS.rate);
     assert.equal(bucket.take(LIMITS, 1, 0, 2000 + retryAfterMs), 0);
   });
 
-  it('is not charged for what did not run', () => {
+  it('is not charged for a request that did not run', () => {
     const bucket = createShareBucket();
     drainAt(bucket, 2000);
     bucket.refund();
--- a/src/decisions/rate_share.ts
+++ b/src/decisions/rate_share.ts
@@ -1,39 +1,40 @@
 /**
- * An account's bucket, filled with one instance's share of its rate.
+ * Limits an account's rate with a bucket that is filled at one instance's share of
+ * it.
  *
- * Pattern of load: one account sends several times its rate through every
- * instance at once. With a bucket on each instance, ten instances let ten
- * times the rate through. Here one instance, the account's owner, holds the
- * whole bucket; the others ask it for each request. Instances come and go
- * within seconds, so two more cases must stay within what the agreement allows
- * on top of the rate (a tenth and some requests in 5 s):
+ * Load pattern: one account sends several times its rate through all instances at
+ * once. With a full bucket on each of ten instances, ten times the rate passes. So
+ * one instance, the account's owner, holds the bucket, and the others ask it for
+ * each request. Instances come and go within seconds, so two more cases must stay
+ * within what the agreement allows beyond the rate (a tenth, and some requests in
+ * 5 s):
  *
- * - A new owner does not know what the last one granted, and starts with
- *   START_BURST_SHARE of the burst and what the rate has given since it became
- *   the owner. Its rate takes over where the other's ended, and an account that
- *   was quiet for a while has its whole burst.
- * - An owner that misses some of the known instances fills its bucket with the
- *   share of the rate that belongs to those it sees; one that is cut off from
- *   the owner has its own share. Shares of all sides add up to the rate.
+ * - A new owner does not know what the previous one granted. It starts with
+ *   START_BURST_SHARE of the burst, plus what the rate earned since it became the
+ *   owner. So its rate continues where the previous owner's ended, and an account
+ *   that was quiet for a while has its whole burst.
+ * - An owner that does not see some of the known instances fills its bucket at the
+ *   share of the rate that belongs to those it sees. An instance that is cut off
+ *   from the owner has its own share. The shares of all sides add up to the rate.
  */
 import type {BucketLimits} from './rate_bucket.js';
 
-/** Of the burst, what a bucket starts with. */
+/** Share of the burst with which a bucket starts. */
 export const START_BURST_SHARE = 0.1;
 
-/** Least tokens a bucket starts with and holds: a lone request is let through. */
+/** Minimum size and initial level of a bucket, so that a single request passes. */
 export const MIN_TOKENS = 1;
 
 const MS_PER_S = 1000;
 
-/** Rate in requests a second and burst in requests. */
+/** Rate in requests per second and burst in requests. */
 export type ShareLimits = Pick<BucketLimits, 'rate' | 'burst'>;
 
-/** One account's bucket on one instance. Times in ms. */
+/** One account's bucket on one instance. Times are in ms. */
 export interface ShareBucket {
   /**
-   * 0 when a token was taken, else when to come back, in ms. `ownedSince` is
-   * when this instance became the one to decide.
+   * Takes a token. Returns 0 if there was one, otherwise the retry delay in ms.
+   * `ownedSince` is when this instance became the one that decides.
    */
   take(
     limits: ShareLimits,
@@ -41,11 +42,11 @@
     ownedSince: number,
     now: number,
   ): number;
-  /** Gives a token back whose request did not run. */
+  /** Returns the token of a request that did not run. */
   refund(): void;
 }
 
-/** Starts with a part of the burst. */
+/** Creates a bucket that starts with START_BURST_SHARE of the burst. */
 export function createShareBucket(): ShareBucket {
   let tokens: number | undefined;
   let filledAt: number | undefined;
--- a/src/decisions/rate_view.ts
+++ b/src/decisions/rate_view.ts
@@ -1,18 +1,21 @@
 /**
- * Who may act as holder of a set of buckets: the holder, backed by promises of
- * up to two standbys in other failure domains, or one of them after it.
+ * Decides who may act as holder of a set of buckets. This is the holder, backed by
+ * promises of up to two standbys in other failure domains, or one of these standbys
+ * after it.
  *
- * Load pattern: none; this answers the holder's loss. Waiting out a table lease
- * (30 s) refuses every request of its accounts for that long, and during an
- * outage of the store no lease can be renewed or taken over at all. Here a
- * standby takes over in PROMISE_MS, with the store up or down.
+ * Load pattern: none; this handles the loss of a holder. Waiting for a table lease
+ * of 30 s to expire would refuse all requests of its accounts for that long, and
+ * during an outage of the store no lease can be renewed or taken over at all. With
+ * these promises a standby takes over within PROMISE_MS, whether the store is
+ * available or not.
  *
- * Safety: with two standbys the holder acts on the promise of one of them, and
- * a standby takes over by the votes of both, or of itself and the holder. With
- * one, the holder needs its promise, and it needs no other vote. Any two such
- * sets share an instance, which votes once and not while its promise runs. The
- * promise runs on the holder's clock from the time it asked, on the standby's
- * from the time it answered, which is later.
+ * Safety: with two standbys, the holder acts on the promise of one of them, and a
+ * standby takes over with the votes of both, or of itself and the holder. With one
+ * standby, the holder needs its promise, and the standby needs no other vote. Any
+ * two such sets share an instance, which votes once and does not vote while its
+ * promise is valid. The promise is valid from the time of the request by the
+ * holder's clock, and from the time of the response, which is later, by the
+ * standby's clock.
  */
 import {
   CLOCK_MARGIN_MS,
@@ -20,41 +23,42 @@
   PROMISE_MS,
 } from './rate_constants.js';
 
-/** An instance in a view, by the run of its process. */
+/** An instance in a view, identified by the incarnation of its process. */
 export interface ViewMember {
   name: string;
   address: string;
   incarnation: string;
 }
 
-/** The holder first, then its standbys. Never changes; a new view replaces it. */
+/** The holder and its standbys. Immutable; a change creates a new view. */
 export interface RateView {
-  /** Unique: the holder's incarnation and a number. */
+  /** Unique id: the holder's incarnation and a number. */
   run: string;
+  /** The holder first, then its standbys. */
   members: ViewMember[];
 }
 
-/** What a standby answers to a renewal. */
+/** A standby's response to a promise renewal. */
 export type PromiseAnswer = {kind: 'promised'} | {kind: 'sealed'};
 
-/** What a member of a view answers to a candidate. */
+/** A view member's response to a vote request. */
 export type VoteAnswer =
   | {kind: 'voted'; candidate: string}
-  /** A promise still runs. */
+  /** A promise is still valid. */
   | {kind: 'wait'; retryAfterMs: number};
 
-/** A standby's part in one view. */
+/** A standby's promise and vote in one view. */
 export interface StandbyVote {
   renew(now: number): PromiseAnswer;
   vote(candidate: string, now: number): VoteAnswer;
-  /** The holder itself gives its right to `candidate`. */
+  /** Records that the holder itself transferred its right to `candidate`. */
   concede(candidate: string): void;
   readonly candidate: string | undefined;
-  /** Time left of the promise. */
+  /** Returns the remaining time of the promise. */
   computeWait(now: number): number;
 }
 
-/** `holder` is the incarnation that the promises are made to. */
+/** Creates a vote; `holder` is the incarnation that gets the promises. */
 export function createStandbyVote(holder: string): StandbyVote {
   let promisedUntil = -Infinity;
   let candidate: string | undefined;
@@ -79,8 +83,8 @@
       candidate ??= wanted;
       return {kind: 'voted', candidate};
     },
-    concede(heir) {
-      candidate = heir;
+    concede(successor) {
+      candidate = successor;
       promisedUntil = -Infinity;
     },
     get candidate() {
@@ -90,28 +94,28 @@
   };
 }
 
-/** A holder's right to act in its view. */
+/** The right of a holder to act in its view. */
 export interface HolderRight {
   notePromise(standby: string, askedAt: number): void;
-  /** Votes for the holder itself make its right permanent. */
+  /** Makes the right permanent, after votes for the holder itself. */
   noteOwned(): void;
-  /** A standby has taken over, or this instance gave the view up. */
+  /** Ends the right: a standby took over, or this instance gave up the view. */
   noteLost(): void;
   readonly isLost: boolean;
   readonly isOwned: boolean;
   /**
-   * Whether a grant made now is dead before anyone else may act: a successor
-   * then need not wait for old grants.
+   * Whether a grant made now expires before anyone else may act. A successor then
+   * need not wait for old grants.
    */
   canGrant(now: number): boolean;
   listPromises(now: number): Record<string, number>;
 }
 
-/** For the holder of `view`. */
+/** Creates the right of the holder of `view`. */
 export function createHolderRight(view: RateView): HolderRight {
   const promises = new Map<string, number>();
-  let lost = false;
-  let owned = view.members.length === 1;
+  let isRightLost = false;
+  let isRightOwned = view.members.length === 1;
 
   return {
     notePromise(standby, askedAt) {
@@ -119,20 +123,20 @@
       promises.set(standby, Math.max(until, promises.get(standby) ?? until));
     },
     noteOwned() {
-      owned = true;
+      isRightOwned = true;
     },
     noteLost() {
-      lost = true;
+      isRightLost = true;
     },
     get isLost() {
-      return lost;
+      return isRightLost;
     },
     get isOwned() {
-      return owned;
+      return isRightOwned;
     },
     canGrant(now) {
-      if (lost) return false;
-      if (owned) return true;
+      if (isRightLost) return false;
+      if (isRightOwned) return true;
       const needed = now + GRANT_LIFETIME_MS + CLOCK_MARGIN_MS;
       return [...promises.values()].some(until => until >= needed);
     },
@@ -143,7 +147,7 @@
   };
 }
 
-/** Whether these votes make `candidate` the only one who may act in a view. */
+/** Whether these votes make `candidate` the only instance that may act in a view. */
 export function isElected(
   view: RateView,
   candidate: string,
@@ -154,7 +158,7 @@
     .filter(member => votes.get(member) === candidate);
   const [holder, ...standbys] = view.members;
   if (standbys.length >= 2) return voters.length >= 2;
-  // With one standby the holder cannot act without its promise.
+  // With one standby, its vote is enough: the holder cannot act without its promise.
   const only = standbys[0]?.incarnation ?? holder.incarnation;
   return voters.includes(only);
 }
--- a/src/decisions/store_answers.test.ts
+++ b/src/decisions/store_answers.test.ts
@@ -1,4 +1,4 @@
-/** What instances know together of the store's answers. */
+/** Tests what instances jointly know about the store's answers. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -9,10 +9,10 @@
 
 const LAPSE_MS = 2400;
 
-describe('runs of answers', () => {
+describe('answer periods of the store', () => {
   const held = {from: 1000, to: 5000};
 
-  it('are one run unless a long silence lies between them', () => {
+  it('are merged unless a long silence lies between them', () => {
     const near = {from: held.to + LAPSE_MS - 1, to: 9000};
     assert.deepEqual(mergeRuns(held, near, LAPSE_MS), {from: 1000, to: 9000});
     assert.deepEqual(mergeRuns(near, held, LAPSE_MS), {from: 1000, to: 9000});
@@ -20,7 +20,7 @@
     assert.deepEqual(mergeRuns(held, inside, LAPSE_MS), held);
   });
 
-  it('are the newer one after a long silence, whoever tells it', () => {
+  it('are replaced by the newer one after a long silence, in any order', () => {
     const newer = {from: held.to + LAPSE_MS, to: 9000};
     assert.deepEqual(mergeRuns(held, newer, LAPSE_MS), newer);
     assert.deepEqual(mergeRuns(newer, held, LAPSE_MS), newer);
@@ -29,17 +29,17 @@
 });
 
 describe('a missing registration', () => {
-  const run = {from: 10_000, to: 12_500};
+  const period = {from: 10_000, to: 12_500};
 
-  it('may have lapsed until it has had time to return', () => {
-    const until = run.from + REGISTRATION_RETURN_MS;
-    assert.equal(shouldKeepMissing(run, LAPSE_MS, until - 1), true);
-    assert.equal(shouldKeepMissing(run, LAPSE_MS, until), false);
+  it('may have lapsed until it had time to return', () => {
+    const until = period.from + REGISTRATION_RETURN_MS;
+    assert.equal(shouldKeepMissing(period, LAPSE_MS, until - 1), true);
+    assert.equal(shouldKeepMissing(period, LAPSE_MS, until), false);
   });
 
-  it('may have lapsed in a long silence', () => {
-    const silent = run.to + LAPSE_MS;
-    assert.equal(shouldKeepMissing(run, LAPSE_MS, silent - 1), false);
-    assert.equal(shouldKeepMissing(run, LAPSE_MS, silent), true);
+  it('may have lapsed during a long silence', () => {
+    const silent = period.to + LAPSE_MS;
+    assert.equal(shouldKeepMissing(period, LAPSE_MS, silent - 1), false);
+    assert.equal(shouldKeepMissing(period, LAPSE_MS, silent), true);
   });
 });
