--- a/src/decisions/admission.ts
+++ b/src/decisions/admission.ts
@@ -1,28 +1,28 @@
 /**
  * Decides whether an online request can be answered in time at all.
  *
- * Load pattern: saturation. Without admission control, every request waits until
- * its deadline to be refused, and slots go to answers that come too late to be of
- * use. With it, a request that cannot be in time is refused at once with a retry
- * delay, and an admitted request is answered.
+ * Load pattern: saturation. Without admission control, every request waits
+ * until its deadline to be refused, and slots go to answers that come too late
+ * to be of use. With it, a request that cannot be in time is refused at once
+ * with a retry delay, and an admitted request is answered.
  *
- * The predicted wait is the position of the request in fair order, multiplied by
- * the recent time between slots granted to waiting requests. To this comes its own
- * run time, predicted from its size. While nothing waits, every request is
- * admitted. Without its own run time, every request of a saturated account was
- * granted just before its deadline and then cut off by it: 0 of 1088 were answered
- * in the simulation 'saturation'.
+ * The predicted wait is the position of the request in fair order, multiplied
+ * by the recent time between slots granted to waiting requests. Its own run
+ * time, predicted from its size, is added. Without it, every request of a
+ * saturated account was granted just before its deadline and then cut off by
+ * it: 0 of 1088 were answered in the simulation 'saturation'. While nothing
+ * waits, every request is admitted.
  *
- * A wait of more than MAX_WAIT_SHARE of the time left is refused as well, since a
- * longer queue only delays all answers without adding any (simulation 'saturation':
- * goodput 40/s at 0.6, 38 at 0.4, 37 at 0.25; median first token 2.1, 1.7 and
- * 1.2 s). A waiting request that no longer fits is given up. A request that need
- * not wait is never refused, since the size of its answer is only the caller's
- * estimate.
+ * A wait of more than MAX_WAIT_SHARE of the time left is refused as well, since
+ * a longer queue only delays all answers without adding any (simulation
+ * 'saturation': goodput 40/s at 0.6, 38 at 0.4, 37 at 0.25; median first token
+ * 2.1, 1.7 and 1.2 s). A waiting request that can no longer be in time is
+ * refused. A request that need not wait is never refused, since the size of its
+ * answer is only the caller's estimate.
  *
- * Callers of streams disconnect when nothing has arrived for a while, well before
- * their deadline. So a request that would not have its slot by `startBy` is also
- * refused on arrival.
+ * Callers of streams disconnect when nothing has arrived for a while, well
+ * before their deadline. So a request that would not have its slot by `startBy`
+ * is also refused on arrival.
  */
 import {
   AVERAGE_GAIN,
@@ -35,7 +35,9 @@
 export interface DrainRate {
   /** Records that a waiting request got a slot. */
   note(now: number): void;
-  /** Call when the queue is empty: the time until the next grant does not count. */
+  /**
+   * Call when the queue is empty: the time until the next grant does not count.
+   */
   reset(): void;
   /** Expected wait at a queue position, in ms; 0 while unknown. */
   estimateWait(position: number): number;
@@ -62,7 +64,9 @@
   };
 }
 
-/** Returns undefined if the request may wait, otherwise the retry delay in ms. */
+/**
+ * Returns undefined if the request may wait, otherwise the retry delay in ms.
+ */
 export function decideAdmission(
   waitMs: number,
   ownMs: number,
--- a/src/decisions/batch_order.test.ts
+++ b/src/decisions/batch_order.test.ts
@@ -27,9 +27,9 @@
 }
 
 describe('waiting items', () => {
-  // Guards against a backlog in which every item is a little late: after a loss of
-  // all instances, twice as much work is left as fits before it is due, and in
-  // order of due times each item would end just after its own.
+  // Guards against a backlog in which every item is a little late: after a loss
+  // of all instances, twice as much work is left as fits before it is due, and
+  // in order of due times each item would end just after its own.
   it('start with those that can still be in time', () => {
     const scheduler = createPoolScheduler({maxConcurrency: 2});
     // While online demand is unknown, one of the two slots is kept free for it.
@@ -74,9 +74,9 @@
     );
   });
 
-  // Guards against stopping items in vain: when a step of online load exceeds the
-  // slots for seconds, hundreds of requests are a little late in any case. Stopping
-  // an item for them makes the item late and does not help them.
+  // Guards against stopping items in vain: when a step of online load exceeds
+  // the slots for seconds, hundreds of requests are a little late in any case.
+  // Stopping an item for them makes the item late and does not help them.
   it('are nearly late when only a stop would make them late', () => {
     const now = 10_000;
     const makeSlot = (leftMs: number, slackMs: number) =>
--- a/src/decisions/batch_order.ts
+++ b/src/decisions/batch_order.ts
@@ -2,14 +2,15 @@
  * Decides which batch items start first, and which yield first.
  *
  * Load pattern: more batch work than can be done before it is due, after all
- * instances were lost or while endpoints are out of service. In order of due times
- * alone, every item is served just as it becomes late: items that can no longer be
- * in time hold the slots in which later ones could be, and none is in time.
+ * instances were lost or while endpoints are out of service. In order of due
+ * times alone, every item is served just as it becomes late: items that can no
+ * longer be in time hold the slots in which later ones could be, and none is in
+ * time.
  *
- * - Items that can still be in time start before those that cannot, earliest due
- *   time first. The others follow as soon as none of these is left.
- * - Items that can no longer be in time yield first, since they lose nothing. Then
- *   those with the latest due time yield, which have the most time left.
+ * - Items that can still be in time start before those that cannot, earliest
+ *   due time first. The others follow as soon as none of these is left.
+ * - Items that can no longer be in time yield first, since they lose nothing.
+ *   Then those with the latest due time yield, which have the most time left.
  * - An item that would be late only because of a stop keeps its slot while all
  *   waiting online requests are late already.
  */
--- a/src/decisions/batch_pacing.test.ts
+++ b/src/decisions/batch_pacing.test.ts
@@ -48,8 +48,8 @@
 }
 
 describe('items that hold every slot', () => {
-  // Guards against stopping items for a request that would be in time anyway: it
-  // can wait for a slot that becomes free by itself.
+  // Guards against stopping items for a request that would be in time anyway:
+  // it can wait for a slot that becomes free by itself.
   it('continue while an online request has time to wait', () => {
     const {scheduler, now} = createFullPool();
     assert.deepEqual(
@@ -72,9 +72,9 @@
     assert.equal(granted.requestId, 'online-request');
   });
 
-  // Guards against waiting for a frozen instance, which never receives the yield
-  // order: its slot counted as about to be free, and the request waited until its
-  // caller left although other items could have yielded.
+  // Guards against waiting for a frozen instance, which never receives the
+  // yield order: its slot counted as about to be free, and the request waited
+  // until its caller left although other items could have yielded.
   it('yield in turn when one of them does not', () => {
     const {scheduler, now} = createFullPool();
     submitOnline(scheduler, 'online-request', now);
--- a/src/decisions/batch_pacing.ts
+++ b/src/decisions/batch_pacing.ts
@@ -2,28 +2,28 @@
  * Decides where batch items may start, and how many must yield.
  *
  * Load pattern: batch work fills all idle slots, but they are idle only for
- * seconds until a burst arrives. Engines have no priorities, so without this module
- * the batch work inside them blocks the burst with its slots, its prefill and its
- * share of each step.
+ * seconds until a burst arrives. Engines have no priorities, so without this
+ * module the batch work inside them blocks the burst with its slots, its
+ * prefill and its share of each step.
  *
- * - Items yield as soon as a waiting online request would otherwise miss its target
- *   (YIELD_SLACK_MS). Before that, the request waits for a slot that becomes free
- *   by itself, which under steady load happens every few ms. online_reserve.ts
- *   decides what is kept free in addition.
+ * - Items yield as soon as a waiting online request would otherwise miss its
+ *   target (YIELD_SLACK_MS). Before that, the request waits for a slot that
+ *   becomes free by itself, which under steady load happens every few ms.
+ *   online_reserve.ts decides what is kept free in addition.
  * - batch_order.ts decides which items yield first. If they yielded by age, the
  *   same item could be stopped again and again until it is late.
- * - A slot that its holder does not free within YIELD_TIMEOUT_MS is not waited for.
- *   Its instance is frozen or unreachable, so another item must yield.
+ * - A slot that its holder does not free within YIELD_TIMEOUT_MS is not waited
+ *   for. Its instance is frozen or unreachable, so another item must yield.
  * - An item starts only on an endpoint whose prefill queue is empty.
- * - An endpoint starts with INITIAL_BATCH_ITEMS, and each answer allows one more.
- *   Filling all slots at once while the latency model has learned nothing would
- *   queue seconds of prefill in the engines, and the model would learn wrong values
- *   from the delayed answers.
+ * - An endpoint starts with INITIAL_BATCH_ITEMS, and each answer allows one
+ *   more. Filling all slots at once while the latency model has learned nothing
+ *   would queue seconds of prefill in the engines, and the model would learn
+ *   wrong values from the delayed answers.
  *
- * Also stopping batch prefills that an online request is queued behind was tried
- * and removed. In both deployments it cost 0.2 to 1% of batch throughput. Neither
- * the late online requests nor the time until a burst was served changed by more
- * than the difference between seeds.
+ * Also stopping batch prefills that an online request is queued behind was
+ * tried and removed. In both deployments it cost 0.2 to 1% of batch throughput.
+ * Neither the late online requests nor the time until a burst was served
+ * changed by more than the difference between seeds.
  */
 import {isNearlyLate, sortForYield} from './batch_order.js';
 import {
@@ -42,8 +42,8 @@
 import type {ScheduledRequest} from './scheduler_types.js';
 
 /**
- * Whether a waiting online request would miss its target by waiting much longer.
- * A request without a target is always urgent.
+ * Whether a waiting online request would miss its target by waiting much
+ * longer. A request without a target is always urgent.
  */
 export function isUrgent(
   targetAt: number | undefined,
@@ -102,8 +102,8 @@
 }
 
 /**
- * Selects the items to stop so that `wanted` slots are free or about to be. With
- * `sparesNearlyLate`, items that a stop would make late are not selected.
+ * Selects the items to stop so that `wanted` slots are free or about to be.
+ * With `sparesNearlyLate`, items that a stop would make late are not selected.
  */
 export function selectSlotYields(
   trackers: readonly EndpointTracker[],
--- a/src/decisions/batch_scheduler.ts
+++ b/src/decisions/batch_scheduler.ts
@@ -1,7 +1,7 @@
 /**
  * Decides when the batch items of a pool start, and when they stop for online
- * requests. It applies batch_pacing, batch_order and online_reserve to the queues
- * of the pool.
+ * requests. It applies batch_pacing, batch_order and online_reserve to the
+ * queues of the pool.
  */
 import {isDueTimeUnreachable} from './batch_order.js';
 import {
@@ -41,7 +41,9 @@
   noteOnlineRequest(request: ScheduledRequest, now: number): void;
   /** Returns the rate of online requests per ms. */
   getOnlineRate(now: number): number;
-  /** Orders items to yield to online requests that wait or are about to arrive. */
+  /**
+   * Orders items to yield to online requests that wait or are about to arrive.
+   */
   preemptItems(open: readonly EndpointTracker[], now: number): void;
   /** Starts items in slots that no online request needs. */
   startItems(open: readonly EndpointTracker[], now: number): void;
--- a/src/decisions/blind_dispatcher.test.ts
+++ b/src/decisions/blind_dispatcher.test.ts
@@ -8,9 +8,9 @@
   const lostAt = 1000;
 
   it('continues while the store is unavailable to all instances', () => {
-    // Guards against all dispatchers stepping down. Peers that have not detected
-    // the loss yet still report that the store answers, so reports requested
-    // before they could have detected it do not count.
+    // Guards against all dispatchers stepping down. Peers that have not
+    // detected the loss yet still report that the store answers, so reports
+    // requested before they could have detected it do not count.
     const early = {
       storeReachable: true,
       askedAt: lostAt + STORE_LOSS_DETECTION_MS - 1,
--- a/src/decisions/concurrency_limit.ts
+++ b/src/decisions/concurrency_limit.ts
@@ -2,23 +2,24 @@
  * Learns how many requests one endpoint runs at once, at most the limit of the
  * service document.
  *
- * Load pattern: the memory of an endpoint holds fewer sequences than the document
- * allows, because prompts grew or another process took memory. Without a learned
- * limit, the excess queues inside the engine in order of arrival. An online
- * request then waits behind batch work that the scheduler cannot reorder.
+ * Load pattern: the memory of an endpoint holds fewer sequences than the
+ * document allows, because prompts grew or another process took memory. Without
+ * a learned limit, the excess queues inside the engine in order of arrival. An
+ * online request then waits behind batch work that the scheduler cannot
+ * reorder.
  *
- * The limit is lowered after MIN_QUEUED_SIGNS consecutive signs of queueing, since
- * one long prompt or one short peak proves nothing. A sign is a first byte much
- * later than predicted (by QUEUED_RATIO, and by QUEUED_EXCESS_MS so that noise on
- * short prompts does not count), or a report of requests that wait inside. It is
- * lowered at most once in LIMIT_COOLDOWN_MS, because requests sent before the
- * decrease still return late.
+ * The limit is lowered after MIN_QUEUED_SIGNS consecutive signs of queueing,
+ * since one long prompt or one short peak proves nothing. A sign is a first
+ * byte much later than predicted (by QUEUED_RATIO, and by QUEUED_EXCESS_MS so
+ * that noise on short prompts does not count), or a report of requests that
+ * wait inside. It is lowered at most once in LIMIT_COOLDOWN_MS, because
+ * requests sent before the decrease still return late.
  *
- * First bytes on time while at least half the limit runs raise the limit, by one
- * for each limit's worth of them. Requiring a full endpoint would never raise it,
- * since batch work leaves slots free: in the simulation with slow prefill, limits
- * fell to 4 while the model was still learning and stayed there, and batch
- * throughput was 0.15 of its bound.
+ * First bytes on time while at least half the limit runs raise the limit, by
+ * one for each limit's worth of them. Requiring a full endpoint would never
+ * raise it, since batch work leaves slots free: in the simulation with slow
+ * prefill, limits fell to 4 while the model was still learning and stayed
+ * there, and batch throughput was 0.15 of its bound.
  */
 import {
   LIMIT_COOLDOWN_MS,
--- a/src/decisions/crash_suspects.test.ts
+++ b/src/decisions/crash_suspects.test.ts
@@ -102,7 +102,8 @@
     assert.ok(!isCleared(record, undefined));
   });
 
-  // Guards against clearing a content forever that crashes a later model version.
+  // Guards against clearing a content forever that crashes a later model
+  // version.
   it('is not cleared of crashes long after the answer', () => {
     assert.ok(!isCleared(record, record.endedAt - ANSWER_VALIDITY_MS));
   });
@@ -140,8 +141,9 @@
     assert.deepEqual(listQuarantined(makeCrashes(crash, crash, crash)), ['x']);
   });
 
-  // Guards against a quarantine of requests that are only retried during a series
-  // of crashes: 13 endpoints, 8 runs on each, each repeated until it is answered.
+  // Guards against a quarantine of requests that are only retried during a
+  // series of crashes: 13 endpoints, 8 runs on each, each repeated until it is
+  // answered.
   it('are quarantined in at most 1 of 1000 interrupted requests', () => {
     const {interrupted, quarantined} = simulateCrashes(200);
     assert.ok(interrupted > 1000, `${interrupted} interrupted`);
@@ -160,8 +162,8 @@
 });
 
 /**
- * Simulates rounds of crashes in a small deployment. Counts the innocent contents
- * that were interrupted, and those of them that were ever quarantined.
+ * Simulates rounds of crashes in a small deployment. Counts the innocent
+ * contents that were interrupted, and those of them that were ever quarantined.
  */
 function simulateCrashes(days: number) {
   const random = createRandom(7);
@@ -175,7 +177,8 @@
     for (let round = 0; round < 6; round++) {
       const beside = Array.from({length: 1 + Math.floor(random.draw() * 7)});
       const contents = beside.map((_, index) => {
-        // A quarter of the interrupted contents runs on the next crashing endpoint.
+        // A quarter of the interrupted contents runs on the next crashing
+        // endpoint.
         const again = random.draw() < 0.25 ? waiting.pop() : undefined;
         return again ?? `d${day} r${round} ${index}`;
       });
--- a/src/decisions/crash_suspects.ts
+++ b/src/decisions/crash_suspects.ts
@@ -1,26 +1,27 @@
 /**
- * Decides which requests are quarantined because endpoints crash while they run.
+ * Decides which requests are quarantined because endpoints crash while they
+ * run.
  *
- * Load pattern: the same content is requested again and again, under new ids and at
- * any instance, and each endpoint that starts to run it crashes. Each retry chooses
- * the next healthy endpoint, so without a quarantine a service loses its endpoints
- * one after the other.
+ * Load pattern: the same content is requested again and again, under new ids
+ * and at any instance, and each endpoint that starts to run it crashes. Each
+ * retry chooses the next healthy endpoint, so without a quarantine a service
+ * loses its endpoints one after the other.
  *
  * The evidence of a crash is the set of contents that ran there; all but one of
- * them are innocent. A crash has a higher weight for a content whose answer had not
- * begun, since in a series of crashes long answers are interrupted again and again
- * in their middle. A content with a weight of QUARANTINE_WEIGHT is quarantined if
- * nothing else explains its crashes, that is, if it weighs more than any other
- * content in MIN_LEADS of them. The crashes of a quarantined content count against
- * no other content.
+ * them are innocent. A crash has a higher weight for a content whose answer had
+ * not begun, since in a series of crashes long answers are interrupted again
+ * and again in their middle. A content with a weight of QUARANTINE_WEIGHT is
+ * quarantined if nothing else explains its crashes, that is, if it weighs more
+ * than any other content in MIN_LEADS of them. The crashes of a quarantined
+ * content count against no other content.
  *
  * Contents that were always lost together cannot be distinguished. Each may run
- * until it is answered, which clears it, or crashes an endpoint alone, which gives
- * it the lead. From TIE_WEIGHT on, both are quarantined.
+ * until it is answered, which clears it, or crashes an endpoint alone, which
+ * gives it the lead. From TIE_WEIGHT on, both are quarantined.
  *
- * The first quarantine lasts only FIRST_QUARANTINE_MS. After it, an innocent content
- * is answered and thereby cleared. A content that crashes another endpoint is
- * quarantined for QUARANTINE_MS.
+ * The first quarantine lasts only FIRST_QUARANTINE_MS. After it, an innocent
+ * content is answered and thereby cleared. A content that crashes another
+ * endpoint is quarantined for QUARANTINE_MS.
  */
 import {groupBy} from '../common/collections.js';
 
@@ -53,7 +54,9 @@
 /** Minimum number of crashes in which a quarantined content weighs the most. */
 export const MIN_LEADS = 2;
 
-/** Weight from which contents that were always lost together are quarantined. */
+/**
+ * Weight from which contents that were always lost together are quarantined.
+ */
 export const TIE_WEIGHT = 25;
 
 /** Losses at one endpoint within this time belong to the same crash, in ms. */
@@ -63,12 +66,15 @@
 export const FIRST_QUARANTINE_MS = 15_000;
 
 /**
- * Duration of later quarantines in ms. The crashes of a content also count until
- * this time after its last one.
+ * Duration of later quarantines in ms. The crashes of a content also count
+ * until this time after its last one.
  */
 export const QUARANTINE_MS = 3_600_000;
 
-/** Time after an answer in which a crash does not count against its content, in ms. */
+/**
+ * Time after an answer in which a crash does not count against its content, in
+ * ms.
+ */
 export const ANSWER_VALIDITY_MS = 10_000;
 
 /** One crash of an endpoint. */
@@ -112,8 +118,8 @@
 }
 
 /**
- * Selects the candidates that caused crashes. The crashes of each cause found are
- * explained, and the other candidates are weighed without them.
+ * Selects the candidates that caused crashes. The crashes of each cause found
+ * are explained, and the other candidates are weighed without them.
  */
 function selectCauses(
   candidates: readonly string[],
@@ -132,9 +138,9 @@
 }
 
 /**
- * Whether an answer clears a content of a crash. It does if it came later, or less
- * than ANSWER_VALIDITY_MS before: several callers may request the same content, and
- * one that was just answered is unlikely to be the cause.
+ * Whether an answer clears a content of a crash. It does if it came later, or
+ * less than ANSWER_VALIDITY_MS before: several callers may request the same
+ * content, and one that was just answered is unlikely to be the cause.
  */
 export function isCleared(
   {endedAt}: CrashRecord,
--- a/src/decisions/endpoint_choice.ts
+++ b/src/decisions/endpoint_choice.ts
@@ -63,7 +63,9 @@
   return Math.max(0, limit - tracker.countRunning());
 }
 
-/** Whether a request may start there now; an ejected endpoint accepts one probe. */
+/**
+ * Whether a request may start there now; an ejected endpoint accepts one probe.
+ */
 export function isOpen(tracker: EndpointTracker, now: number): boolean {
   const state = tracker.health.getState();
   return state === 'healthy' || tracker.health.shouldProbe(now);
--- a/src/decisions/endpoint_health.ts
+++ b/src/decisions/endpoint_health.ts
@@ -8,17 +8,19 @@
  *
  * - Slow: its first bytes are SLOW_RATIO times later than predicted. This is an
  *   average over several requests, so that one long prompt does not count.
- * - Failing: FAILURES_TO_EJECT consecutive failures, or a share of failures above
- *   MAX_FAILURE_SHARE (failure_share.ts). Refusals count only as consecutive
- *   failures, since a refusal costs its request only another send.
+ * - Failing: FAILURES_TO_EJECT consecutive failures, or a share of failures
+ *   above MAX_FAILURE_SHARE (failure_share.ts). Refusals count only as
+ *   consecutive failures, since a refusal costs its request only another send.
  * - Silent: no response at all while a first byte is overdue by
- *   SILENT_FIRST_BYTES times its predicted time (where first bytes are reported),
- *   or no answer for SILENT_GAPS times the gap expected from its running requests
- *   (probability on a healthy endpoint: e^-6), or SILENCES_TO_EJECT timeouts. A
- *   single timeout may be caused by one broken connection.
+ *   SILENT_FIRST_BYTES times its predicted time (where first bytes are
+ *   reported), or no answer for SILENT_GAPS times the gap expected from its
+ *   running requests (probability on a healthy endpoint: e^-6), or
+ *   SILENCES_TO_EJECT timeouts. A single timeout may be caused by one broken
+ *   connection.
  *
- * An ejected endpoint is probed with one request after a delay that doubles each
- * time. The probe is a batch item if there is one, since no caller waits for it.
+ * An ejected endpoint is probed with one request after a delay that doubles
+ * each time. The probe is a batch item if there is one, since no caller waits
+ * for it.
  */
 import {
   FAILURES_TO_EJECT,
@@ -53,8 +55,8 @@
   /** Checks an overdue first byte; `ageMs` is the time since sending. */
   checkFirstByte(ageMs: number, predictedMs: number, now: number): void;
   /**
-   * Checks for silence. `expectedGapMs` is the gap between answers expected from
-   * the running requests; `running` is undefined if there are none.
+   * Checks for silence. `expectedGapMs` is the gap between answers expected
+   * from the running requests; `running` is undefined if there are none.
    */
   checkProgress(
     running: {since: number; expectedGapMs: number} | undefined,
--- a/src/decisions/endpoint_tracker.ts
+++ b/src/decisions/endpoint_tracker.ts
@@ -1,8 +1,8 @@
 /**
- * Tracks the state of one endpoint: which requests hold its slots, the estimated
- * length of its prefill queue, its learned limit, health and cached prefixes.
- * Endpoints report their load seconds late, so estimates are based first on the
- * requests sent to them.
+ * Tracks the state of one endpoint: which requests hold its slots, the
+ * estimated length of its prefill queue, its learned limit, health and cached
+ * prefixes. Endpoints report their load seconds late, so estimates are based
+ * first on the requests sent to them.
  */
 import {
   createConcurrencyLimit,
@@ -42,14 +42,19 @@
 /** One endpoint of a pool. */
 export interface EndpointTracker {
   description: EndpointDescription;
-  /** False once it left the pool: running requests finish, no new ones start. */
+  /**
+   * False once it left the pool: running requests finish, no new ones start.
+   */
   isListed: boolean;
   health: EndpointHealth;
   limit: ConcurrencyLimit;
   prefixes: PrefixMap;
   countRunning(): number;
   countByClass(workClass: WorkClass): number;
-  /** Counts the items ordered to yield after `since` that still hold their slots. */
+  /**
+   * Counts the items ordered to yield after `since` that still hold their
+   * slots.
+   */
   countYielding(since: number): number;
   /** Estimated time until its prefill queue is empty. */
   estimateBacklog(now: number): number;
@@ -101,8 +106,8 @@
   }
 
   /**
-   * Learns from a first byte, once for each slot. The cost of a prompt is learned
-   * only from requests that did not wait behind other prefills.
+   * Learns from a first byte, once for each slot. The cost of a prompt is
+   * learned only from requests that did not wait behind other prefills.
    */
   function updateFromFirstByte(
     slot: HeldSlot,
@@ -214,7 +219,8 @@
       if (!slot || slot.yieldedAt !== undefined) return;
       slot.yieldedAt = now;
       yielding++;
-      // It leaves the engine before the prefill of any request sent from now on.
+      // It leaves the engine before the prefill of any request sent from now
+      // on.
       if (!slot.hasFirstByte) prefill.remove(requestId, 'stopped', now);
     },
     releaseSlot(requestId, outcome, now) {
--- a/src/decisions/failure_share.test.ts
+++ b/src/decisions/failure_share.test.ts
@@ -1,4 +1,6 @@
-/** Tests one endpoint that fails part of its requests while the others succeed. */
+/**
+ * Tests one endpoint that fails part of its requests while the others succeed.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createRandom} from '../plays/random.js';
@@ -22,7 +24,7 @@
   tokens: 25,
 };
 
-/** Counts sent and failed requests while one endpoint fails a `share` of its own. */
+/** Simulates an endpoint that fails `share` of its requests; returns counts. */
 function simulateFaultyEndpoint(
   share: number,
   failureShares: boolean,
@@ -76,18 +78,19 @@
   // three consecutive failures are rare, and one successful probe readmits it.
   // Requests may run only once, so callers would lose 1 in 20 of all requests.
   it('causes far fewer failed requests if its failure share is tracked', t => {
-    const inARow = sumFailed(0.45, false);
-    const byShare = sumFailed(0.45, true);
-    t.diagnostic(JSON.stringify({inARow, byShare}));
-    assert.ok(byShare < 0.6 * inARow);
+    const consecutiveOnly = sumFailed(0.45, false);
+    const withShare = sumFailed(0.45, true);
+    t.diagnostic(JSON.stringify({consecutiveOnly, withShare}));
+    assert.ok(withShare < 0.6 * consecutiveOnly);
   });
 
-  // Guards against ejecting a healthy endpoint because of occasional lost answers.
+  // Guards against ejecting a healthy endpoint because of occasional lost
+  // answers.
   it('stays in use if it loses one request in 20', t => {
-    const inARow = sumFailed(0.05, false);
-    const byShare = sumFailed(0.05, true);
-    t.diagnostic(JSON.stringify({inARow, byShare}));
-    assert.ok(byShare > 0.8 * inARow);
+    const consecutiveOnly = sumFailed(0.05, false);
+    const withShare = sumFailed(0.05, true);
+    t.diagnostic(JSON.stringify({consecutiveOnly, withShare}));
+    assert.ok(withShare > 0.8 * consecutiveOnly);
   });
 });
 
--- a/src/decisions/failure_share.ts
+++ b/src/decisions/failure_share.ts
@@ -1,22 +1,22 @@
 /**
  * Tracks the share of its requests that one endpoint fails.
  *
- * Load pattern: one endpoint of a dozen or more fails half of its requests while
- * its health probe and the other half succeed. Consecutive failures are rare (at
- * 45 %, three in a row occur once in 18 requests), and one successful probe makes
- * it healthy again. Without this module it keeps receiving its part of the work,
- * and half of that is lost where a request may run only once.
+ * Load pattern: one endpoint of a dozen or more fails half of its requests
+ * while its health probe and the other half succeed. Consecutive failures are
+ * rare (at 45 %, three in a row occur once in 18 requests), and one successful
+ * probe makes it healthy again. Without this module it keeps receiving its part
+ * of the work, and half of that is lost where a request may run only once.
  *
  * The share is a moving average over about 1 / FAILURE_GAIN requests. Three
- * failures among eight requests exceed MAX_FAILURE_SHARE. An endpoint that loses
- * one answer in 20 exceeds it once in 390 requests (simulated with a million
- * requests) and is then ejected for a second. An endpoint that returns starts
- * with RETURN_SHARE, so that its next failure ejects it again. Each time it was
- * healthy for less than RELAPSE_MS, its next pause doubles.
+ * failures among eight requests exceed MAX_FAILURE_SHARE. An endpoint that
+ * loses one answer in 20 exceeds it once in 390 requests (simulated with a
+ * million requests) and is then ejected for a second. An endpoint that returns
+ * starts with RETURN_SHARE, so that its next failure ejects it again. Each time
+ * it was healthy for less than RELAPSE_MS, its next pause doubles.
  *
- * Effect, as printed by this module's test: if one of ten endpoints fails 45 % of
- * its requests for 6.5 s, 7.2 of 372 requests fail; with consecutive failures
- * alone it is 12.5 (means of 40 seeds).
+ * Effect, as printed by this module's test: if one of ten endpoints fails 45 %
+ * of its requests for 6.5 s, 7.2 of 372 requests fail; with consecutive
+ * failures alone it is 12.5 (means of 40 seeds).
  */
 import {FIRST_PROBE_DELAY_MS} from './scheduler_constants.js';
 
@@ -33,8 +33,8 @@
 export const RELAPSE_MS = 3000;
 
 /**
- * Longest pause caused by relapses, in ms. Ejecting a healthy endpoint for longer
- * would cost more than the requests that a failing one still loses.
+ * Longest pause caused by relapses, in ms. Ejecting a healthy endpoint for
+ * longer would cost more than the requests that a failing one still loses.
  */
 export const MAX_RELAPSE_PAUSE_MS = 4000;
 
--- a/src/decisions/fair_queue.test.ts
+++ b/src/decisions/fair_queue.test.ts
@@ -11,8 +11,9 @@
 }
 
 describe('the fair queue', () => {
-  // Guards against one account that sends ten times as many requests as another:
-  // in a single queue the other's request would be served eleventh, not second.
+  // Guards against one account that sends ten times as many requests as
+  // another: in a single queue the other's request would be served eleventh,
+  // not second.
   it('serves accounts in turn regardless of how much one of them sends', () => {
     const queue = createFairQueue();
     for (let index = 0; index < 10; index++) {
--- a/src/decisions/fair_queue.ts
+++ b/src/decisions/fair_queue.ts
@@ -3,9 +3,9 @@
  * earliest deadline first within an account.
  *
  * Load pattern: one account sends several times as many requests as the others.
- * In a single queue its requests stand before all others, and the other accounts
- * get their first tokens as late as it does. With fair shares, an account waits
- * only behind its own excess.
+ * In a single queue its requests stand before all others, and the other
+ * accounts get their first tokens as late as it does. With fair shares, an
+ * account waits only behind its own excess.
  *
  * The virtual time of an account is the work it was granted divided by its
  * weight. The account with the smallest virtual time is next. An account that
@@ -15,7 +15,9 @@
 import {Heap} from 'heap-js';
 import type {ScheduledRequest} from './scheduler_types.js';
 
-/** Removed entries beyond the live ones that a heap holds before it is rebuilt. */
+/**
+ * Removed entries beyond the live ones that a heap holds before it is rebuilt.
+ */
 const SLACK = 64;
 
 interface Entry {
@@ -119,7 +121,9 @@
     return entry;
   }
 
-  /** Removes idle accounts that would start at the current virtual time anyway. */
+  /**
+   * Removes idle accounts that would start at the current virtual time anyway.
+   */
   function removeIdleAccounts() {
     for (const [name, queue] of accounts) {
       if (queue.size === 0 && queue.virtualTime <= virtualNow) {
--- a/src/decisions/feed_pace.ts
+++ b/src/decisions/feed_pace.ts
@@ -1,16 +1,16 @@
 /**
- * Decides how long the platform's store may hold a call for changes open, and when
- * the call is repeated.
+ * Decides how long the platform's store may hold a call for changes open, and
+ * when the call is repeated.
  *
- * Load pattern: every instance follows the same few tables, most of which seldom
- * change. Connections become silent without a reset, and the store fails and
- * recovers. If all calls are held briefly, the calls of an idle fleet grow with its
- * size and cost more than its work. If they are held long, a silent connection hides
- * changes.
+ * Load pattern: every instance follows the same few tables, most of which
+ * seldom change. Connections become silent without a reset, and the store fails
+ * and recovers. If all calls are held briefly, the calls of an idle fleet grow
+ * with its size and cost more than its work. If they are held long, a silent
+ * connection hides changes.
  *
- * One table, the sentinel, is polled often. When its connection is found silent, or
- * the store recovers, every other feed is polled at once. So the other feeds may be
- * held for as long as a change may take to be noticed.
+ * One table, the sentinel, is polled often. When its connection is found
+ * silent, or the store recovers, every other feed is polled at once. So the
+ * other feeds may be held for as long as a change may take to be noticed.
  */
 
 /** Longest hold of the sentinel feed, in ms. */
@@ -37,8 +37,8 @@
 export type FeedRole = 'sentinel' | 'bounded' | 'own';
 
 /**
- * Computes the hold of a feed in ms. `boundMs` is the time within which a change
- * must be noticed, also on a silent connection.
+ * Computes the hold of a feed in ms. `boundMs` is the time within which a
+ * change must be noticed, also on a silent connection.
  */
 export function computeHold(role: FeedRole, boundMs: number): number {
   const bounded = Math.max(MIN_HOLD_MS, boundMs - FEED_GRACE_MS);
@@ -51,9 +51,9 @@
 }
 
 /**
- * Computes the pause after a failure in ms. Each instance's sentinel retries while
- * the store is unavailable. Its pause is 0.5 to 1.5 times the mean, by a random
- * `draw` from 0 to 1, so that instances do not retry at the same time.
+ * Computes the pause after a failure in ms. Each instance's sentinel retries
+ * while the store is unavailable. Its pause is 0.5 to 1.5 times the mean, by a
+ * random `draw` from 0 to 1, so that instances do not retry at the same time.
  */
 export function computeRetryPause(role: FeedRole, draw: number): number {
   return role === 'sentinel' ? SENTINEL_RETRY_MS * (0.5 + draw) : RETRY_MS;
--- a/src/decisions/instance_ranking.ts
+++ b/src/decisions/instance_ranking.ts
@@ -2,10 +2,11 @@
  * Decides which instance is responsible for a key, by rendezvous hashing.
  *
  * Load pattern: instances come and go all day (740 restarts a day at 360
- * instances) while requests for the same bucket or pool arrive everywhere. With a
- * scheme such as `hash modulo count`, each change moves most keys, and buckets and
- * queues are rebuilt everywhere at once. Rendezvous hashing moves only the keys of
- * the instance that came or went, 1/n of all; the test measures that share.
+ * instances) while requests for the same bucket or pool arrive everywhere. With
+ * a scheme such as `hash modulo count`, each change moves most keys, and
+ * buckets and queues are rebuilt everywhere at once. Rendezvous hashing moves
+ * only the keys of the instance that came or went, 1/n of all; the test
+ * measures that share.
  */
 import murmurhash from 'murmurhash';
 
@@ -17,8 +18,9 @@
 const nameHashes = new WeakMap<Ranked, number>();
 
 /**
- * Returns the hash of a candidate's name, computed once for each object. Hashing
- * 360 names for each request would take longer than the decision itself.
+ * Returns the hash of a candidate's name, computed once for each object.
+ * Hashing 360 names for each request would take longer than the decision
+ * itself.
  */
 function getNameHash(candidate: Ranked): number {
   const held = nameHashes.get(candidate);
@@ -71,8 +73,8 @@
 }
 
 /**
- * Instances that started at most this long after the median count as settled, in
- * ms. Wall clocks differ by up to 2 s, and a fleet starts within 3 s.
+ * Instances that started at most this long after the median count as settled,
+ * in ms. Wall clocks differ by up to 2 s, and a fleet starts within 3 s.
  */
 export const SETTLED_START_TOLERANCE_MS = 5000;
 
@@ -80,19 +82,19 @@
 export const MIN_CAPACITY_SHARE = 0.5;
 
 /**
- * Selects the candidates for work whose state is lost with its instance, such as
- * queues and buckets.
+ * Selects the candidates for work whose state is lost with its instance, such
+ * as queues and buckets.
  *
  * Load pattern: instances restart one after the other while requests arrive. By
- * rank alone, a restarting instance loses its work and takes it back a second later
- * without the state, which makes two handovers for each restart. So instances that
- * started later than most are left out. This depends only on start times, so that
- * all instances agree and the result does not change as time passes. After a
- * restart of the whole fleet, no instance is left out.
+ * rank alone, a restarting instance loses its work and takes it back a second
+ * later without the state, which makes two handovers for each restart. So
+ * instances that started later than most are left out. This depends only on
+ * start times, so that all instances agree and the result does not change as
+ * time passes. After a restart of the whole fleet, no instance is left out.
  *
- * Instances with less than MIN_CAPACITY_SHARE of the strongest one's cores are left
- * out as well. A dispatcher decides for every request of its pool, and on a third
- * of a core each decision would wait for the previous one.
+ * Instances with less than MIN_CAPACITY_SHARE of the strongest one's cores are
+ * left out as well. A dispatcher decides for every request of its pool, and on
+ * a third of a core each decision would wait for the previous one.
  */
 export function selectSettled<
   Candidate extends {startedAt?: number; capacity?: number},
@@ -125,8 +127,8 @@
 }
 
 /**
- * Orders the other candidates by hash for the ring of heartbeats, starting after
- * `name`. Neighbours on the ring are unrelated to neighbours in a rack.
+ * Orders the other candidates by hash for the ring of heartbeats, starting
+ * after `name`. Neighbours on the ring are unrelated to neighbours in a rack.
  */
 export function orderRing<Candidate extends Ranked>(
   name: string,
--- a/src/decisions/item_work.ts
+++ b/src/decisions/item_work.ts
@@ -2,9 +2,9 @@
  * Estimates the remaining run time of a batch item on an endpoint, learned from
  * items that ran.
  *
- * Load pattern: items that were stopped for online requests and resume where they
- * were. Estimated by the run time of a complete item, an item that is nearly done
- * seems too late to be in time, and goes behind items that are not.
+ * Load pattern: items that were stopped for online requests and resume where
+ * they were. Estimated by the run time of a complete item, an item that is
+ * nearly done seems too late to be in time, and goes behind items that are not.
  */
 import {AVERAGE_GAIN, MIN_PIECES_FOR_RATE} from './scheduler_constants.js';
 
@@ -14,7 +14,10 @@
   noteRun(pieces: number, ranMs: number): void;
   /** Records the number of pieces of a complete answer. */
   noteWhole(pieces: number): void;
-  /** Remaining time of an item with `pieces` received, in ms; undefined if unknown. */
+  /**
+   * Remaining time of an item with `pieces` received, in ms; undefined if
+   * unknown.
+   */
   estimateRest(pieces: number): number | undefined;
 }
 
--- a/src/decisions/latency_model.ts
+++ b/src/decisions/latency_model.ts
@@ -4,12 +4,12 @@
  * of prompt tokens to prefill.
  *
  * Load pattern: long prompts among short ones. Without a prediction by length,
- * all requests count alike, and a short request is sent behind a long prompt and
- * waits for its whole prefill.
+ * all requests count alike, and a short request is sent behind a long prompt
+ * and waits for its whole prefill.
  *
- * Fixed values would fit only one engine. The learned ones follow a change within
- * a few hundred answers (REGRESSION_DECAY). They start from plausible values
- * (REGRESSION_PRIOR), so that the first answers cannot move them far.
+ * Fixed values would fit only one engine. The learned ones follow a change
+ * within a few hundred answers (REGRESSION_DECAY). They start from plausible
+ * values (REGRESSION_PRIOR), so that the first answers cannot move them far.
  */
 import {
   AVERAGE_GAIN,
@@ -99,7 +99,10 @@
   /** Mean time from grant to release. */
   getMeanTotal(workClass: WorkClass): number;
   noteFirstByte(tokens: number, firstByteMs: number): void;
-  /** Records a first byte on any endpoint that took `ratio` times its prediction. */
+  /**
+   * Records a first byte on any endpoint that took `ratio` times its
+   * prediction.
+   */
   noteRatio(ratio: number): void;
   /** Average ratio of actual to predicted time over the pool, at least 1. */
   getPoolRatio(): number;
--- a/src/decisions/mechanisms.ts
+++ b/src/decisions/mechanisms.ts
@@ -1,7 +1,7 @@
 /**
  * The scheduler's mechanisms by name. Each can be switched off, so that
- * `npm run measure -- --ablate` shows its effect. Operators cannot change them: in
- * production all mechanisms are on.
+ * `npm run measure -- --ablate` shows its effect. Operators cannot change them:
+ * in production all mechanisms are on.
  */
 
 /** Which mechanisms are on. */
@@ -10,7 +10,9 @@
   fairShares: boolean;
   /** Refusal of requests that cannot be in time; if off, all of them wait. */
   admission: boolean;
-  /** Choice by predicted first token; if off, by the fewest running requests. */
+  /**
+   * Choice by predicted first token; if off, by the fewest running requests.
+   */
   prediction: boolean;
   /** The prediction takes cached prefixes into account. */
   prefixAffinity: boolean;
--- a/src/decisions/model_placement.test.ts
+++ b/src/decisions/model_placement.test.ts
@@ -33,9 +33,9 @@
     assert.equal(planModelMoves(placed, demand, 2)[0]?.to, 'b');
   });
 
-  // Guards against repeated moves when demand fluctuates around equal shares: each
-  // fluctuation would cost two loads of a minute each, and a minute later the model
-  // that lost its endpoint would lack one.
+  // Guards against repeated moves when demand fluctuates around equal shares:
+  // each fluctuation would cost two loads of a minute each, and a minute later
+  // the model that lost its endpoint would lack one.
   it('moves nothing for a small fluctuation of demand', () => {
     const placed = makePlaced(['a', 'a', 'a', 'b', 'b', 'b']);
     const demand = new Map([
--- a/src/decisions/model_placement.ts
+++ b/src/decisions/model_placement.ts
@@ -1,20 +1,20 @@
 /**
- * Decides which endpoints should change the model they serve, and which of them do
- * so now.
+ * Decides which endpoints should change the model they serve, and which of them
+ * do so now.
  *
  * Load pattern: demand moves between models over minutes. Without moves, the
  * endpoints of one model are saturated beside idle ones. With a move for every
- * fluctuation, endpoints spend their time loading weights, and if all load at once
- * they exhaust the rate of the weight store, so that each load takes many times as
- * long.
+ * fluctuation, endpoints spend their time loading weights, and if all load at
+ * once they exhaust the rate of the weight store, so that each load takes many
+ * times as long.
  *
- * - Each model in demand keeps at least one endpoint. The others are distributed by
- *   demand, the largest remainder first.
- * - An endpoint is moved only if the model that gains it lacks at least MIN_MOVE_GAIN of
- *   an endpoint. A load takes about a minute, and smaller fluctuations would move
- *   the same endpoint back and forth.
- * - At most `budget` loads run at once, and further ones wait. An endpoint that is
- *   loading is not moved again.
+ * - Each model in demand keeps at least one endpoint. The others are
+ *   distributed by demand, the largest remainder first.
+ * - An endpoint is moved only if the model that gains it lacks at least
+ *   MIN_MOVE_GAIN of an endpoint. A load takes about a minute, and smaller
+ *   fluctuations would move the same endpoint back and forth.
+ * - At most `budget` loads run at once, and further ones wait. An endpoint that
+ *   is loading is not moved again.
  */
 
 /** Minimum shortage of endpoints of a model before one is moved to it. */
@@ -35,7 +35,9 @@
   to: string;
 }
 
-/** Plans moves; `demand` is the work per second by model, in any common unit. */
+/**
+ * Plans moves; `demand` is the work per second by model, in any common unit.
+ */
 export function planModelMoves(
   placed: readonly PlacedModel[],
   demand: ReadonlyMap<string, number>,
@@ -59,7 +61,9 @@
   return moves;
 }
 
-/** Computes the endpoints each model should have: one, and a share by demand. */
+/**
+ * Computes the endpoints each model should have: one, and a share by demand.
+ */
 function computeShares(
   endpoints: number,
   demand: ReadonlyMap<string, number>,
@@ -96,7 +100,9 @@
   return chosen;
 }
 
-/** Returns the index of an endpoint of the largest surplus; -1 if there is none. */
+/**
+ * Returns the index of an endpoint of the largest surplus; -1 if there is none.
+ */
 function findDonor(
   movable: readonly PlacedModel[],
   shares: ReadonlyMap<string, number>,
--- a/src/decisions/online_demand.ts
+++ b/src/decisions/online_demand.ts
@@ -3,10 +3,10 @@
  * them must find an endpoint that is free of batch prefill.
  *
  * Load pattern: steady online requests beside batch work. Without an estimate,
- * either every endpoint is in batch prefill when a request arrives, or endpoints
- * are kept free for requests that do not come. The estimate is the mean plus two
- * standard deviations of a Poisson count, which covers 97 in 100 moments. Bursts
- * are served by yields instead.
+ * either every endpoint is in batch prefill when a request arrives, or
+ * endpoints are kept free for requests that do not come. The estimate is the
+ * mean plus two standard deviations of a Poisson count, which covers 97 in 100
+ * moments. Bursts are served by yields instead.
  */
 import {
   BURST_RATIO,
@@ -35,8 +35,9 @@
 }
 
 /**
- * Estimates the requests about to arrive from those of the last BURST_WINDOW_MS.
- * In a burst the estimate doubles, since a burst is detected at its beginning.
+ * Estimates the requests about to arrive from those of the last
+ * BURST_WINDOW_MS. In a burst the estimate doubles, since a burst is detected
+ * at its beginning.
  */
 export function estimateUpcoming(
   recent: OnlineDemand,
@@ -50,11 +51,11 @@
 /** Creates a rate of zero; `windowMs` is the averaging window. */
 export function createOnlineDemand(windowMs: number): OnlineDemand {
   let rate = 0;
-  let notedAt = 0;
+  let updatedAt = 0;
 
   function updateRate(now: number) {
-    rate *= Math.exp((notedAt - now) / windowMs);
-    notedAt = now;
+    rate *= Math.exp((updatedAt - now) / windowMs);
+    updatedAt = now;
   }
 
   function getRate(now: number): number {
--- a/src/decisions/online_reserve.test.ts
+++ b/src/decisions/online_reserve.test.ts
@@ -1,4 +1,6 @@
-/** Tests the capacity kept free of batch work, by how long requests can wait. */
+/**
+ * Tests the capacity kept free of batch work, by how long requests can wait.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createOnlineReserve} from './online_reserve.js';
@@ -11,7 +13,9 @@
 const ENDPOINTS = 8;
 const PREFILL_MS = 60;
 
-/** Records 10 requests per second for two seconds; returns the last one's time. */
+/**
+ * Records 10 requests per second for two seconds; returns the last one's time.
+ */
 function noteSteady(
   reserve: ReturnType<typeof createOnlineReserve>,
   isUrgent: (index: number) => boolean,
--- a/src/decisions/online_reserve.ts
+++ b/src/decisions/online_reserve.ts
@@ -2,21 +2,23 @@
  * Decides how much capacity is kept free of batch work for online requests that
  * have not arrived yet.
  *
- * Load pattern: steps and bursts of online requests beside batch work that fills
- * all idle slots. Whether a request may find every slot taken depends on its
- * objective. One with an objective some hundred ms ahead loses nothing by waiting
- * until an item has yielded. One without an objective, or with a close one, is late
- * by every ms that it waits.
+ * Load pattern: steps and bursts of online requests beside batch work that
+ * fills all idle slots. Whether a request may find every slot taken depends on
+ * its objective. One with an objective some hundred ms ahead loses nothing by
+ * waiting until an item has yielded. One without an objective, or with a close
+ * one, is late by every ms that it waits.
  *
- * - While most online requests can wait for a yield (DEFERRABLE_SHARE), their time
- *   is the buffer. Only the requests that arrive while an item yields need free
- *   slots. Keeping more slots empty and stopping items in advance costs batch work
- *   an eighth of the fleet and each item several restarts, without any gain.
- * - Otherwise free slots are the buffer. BATCH_HEADROOM slots of each endpoint stay
- *   free, and items yield when less than FREE_SLOT_FLOOR of a slot per endpoint is
- *   left or a burst begins. No item starts during a burst and for BURST_PAUSE_MS
- *   after it, since an endpoint only seems idle between two requests of a burst.
- *   As few endpoints as the arrivals need are kept free of batch prefill.
+ * - While most online requests can wait for a yield (DEFERRABLE_SHARE), their
+ *   time is the buffer. Only the requests that arrive while an item yields need
+ *   free slots. Keeping more slots empty and stopping items in advance costs
+ *   batch work an eighth of the fleet and each item several restarts, without
+ *   any gain.
+ * - Otherwise free slots are the buffer. BATCH_HEADROOM slots of each endpoint
+ *   stay free, and items yield when less than FREE_SLOT_FLOOR of a slot per
+ *   endpoint is left or a burst begins. No item starts during a burst and for
+ *   BURST_PAUSE_MS after it, since an endpoint only seems idle between two
+ *   requests of a burst. As few endpoints as the arrivals need are kept free of
+ *   batch prefill.
  */
 import {
   createOnlineDemand,
@@ -36,7 +38,9 @@
 
 /** Tracks the online requests of one pool and computes its reserve. */
 export interface OnlineReserve {
-  /** Records an online request; an urgent one cannot wait for an item to yield. */
+  /**
+   * Records an online request; an urgent one cannot wait for an item to yield.
+   */
   note(isUrgent: boolean, now: number): void;
   /** Returns the rate of online requests per ms. */
   getRate(now: number): number;
--- a/src/decisions/pool_scheduler.test.ts
+++ b/src/decisions/pool_scheduler.test.ts
@@ -1,4 +1,7 @@
-/** Tests the scheduler's guarantees in any history, and their effect for callers. */
+/**
+ * Tests the scheduler's guarantees in any history, and their effect for
+ * callers.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
@@ -17,7 +20,9 @@
   tokens: 20,
 };
 
-/** Creates a scheduler that checks each of its actions against its guarantees. */
+/**
+ * Creates a scheduler that checks each of its actions against its guarantees.
+ */
 function createCheckedScheduler(endpointCount: number, maxConcurrency: number) {
   const scheduler = createPoolScheduler({maxConcurrency});
   const requests = new Map<string, ScheduledRequest>();
@@ -223,8 +228,8 @@
   });
 
   // Guards against starvation: two accounts share a saturated pool, and one
-  // submits 20 requests first. The other account's only request, submitted last, must get
-  // one of the next two slots.
+  // submits 20 requests first. The other account's only request, submitted
+  // last, must get one of the next two slots.
   it('does not let one account starve another', () => {
     const checked = createCheckedScheduler(1, 2);
     for (let index = 0; index < 20; index++) {
--- a/src/decisions/pool_scheduler.ts
+++ b/src/decisions/pool_scheduler.ts
@@ -5,8 +5,8 @@
  *
  * Load pattern: online bursts beside long batch work, on endpoints that have no
  * priorities and report their load late. Without one scheduler that sees every
- * request and every slot of a pool, batch work occupies the engines when a burst
- * arrives.
+ * request and every slot of a pool, batch work occupies the engines when a
+ * burst arrives.
  *
  * This module only combines the decisions. Each has a module of its own:
  * admission, fair_queue, endpoint_choice, batch_scheduler, endpoint_health.
@@ -59,7 +59,9 @@
   submit(request: ScheduledRequest, now: number): SchedulerAction[];
   /** Removes a waiting request whose caller has disconnected. */
   cancel(requestId: string, now: number): SchedulerAction[];
-  /** Frees the slot of a granted request that ended; unknown ids are ignored. */
+  /**
+   * Frees the slot of a granted request that ended; unknown ids are ignored.
+   */
   release(
     requestId: string,
     outcome: SchedulerOutcome,
--- a/src/decisions/prefill_queue.test.ts
+++ b/src/decisions/prefill_queue.test.ts
@@ -3,7 +3,10 @@
 import {describe, it} from 'node:test';
 import {createPrefillQueue} from './prefill_queue.js';
 
-/** 20 ms of the first-byte time are not prefill and overlap with the next prompt. */
+/**
+ * 20 ms of the first-byte time are not prefill and overlap with the next
+ * prompt.
+ */
 const WORK = {idleFirstByteMs: 60, prefillMs: 40};
 const ONLINE = 'online' as const;
 
@@ -17,8 +20,9 @@
     assert.equal(queue.estimateBacklog(100), 0);
   });
 
-  // Guards against batch work that leaves slots empty: each item's first byte took
-  // 60 ms in which the engine did not prefill, and the next item waited for it.
+  // Guards against batch work that leaves slots empty: each item's first byte
+  // took 60 ms in which the engine did not prefill, and the next item waited
+  // for it.
   it('is empty if the first byte takes long but the prefill takes no time', () => {
     const queue = createPrefillQueue();
     const short = {idleFirstByteMs: 60, prefillMs: 0};
@@ -35,8 +39,8 @@
   });
 
   // Guards against sending requests to an engine that became slow: its prompts
-  // are unanswered past their predicted end, and a queue that ignored the missing
-  // first bytes would count as empty, like that of an idle engine.
+  // are unanswered past their predicted end, and a queue that ignored the
+  // missing first bytes would count as empty, like that of an idle engine.
   it('keeps overdue prompts once first bytes are reported', () => {
     const queue = createPrefillQueue();
     queue.push({id: 'seen', workClass: ONLINE}, WORK, 0);
--- a/src/decisions/prefill_queue.ts
+++ b/src/decisions/prefill_queue.ts
@@ -1,16 +1,16 @@
 /**
- * Estimates the prefill queue of one engine from outside. Engines prefill in order
- * of arrival, so the end of each prefill follows from those before it. Reported
- * first bytes correct the estimate.
+ * Estimates the prefill queue of one engine from outside. Engines prefill in
+ * order of arrival, so the end of each prefill follows from those before it.
+ * Reported first bytes correct the estimate.
  *
- * Load pattern: long prompts among short ones, on engines that report their load
- * seconds late. Without this estimate, a request is sent behind a long prompt that
- * the last report did not show.
+ * Load pattern: long prompts among short ones, on engines that report their
+ * load seconds late. Without this estimate, a request is sent behind a long
+ * prompt that the last report did not show.
  *
- * Holders of slots may report first bytes. If they do, a prompt whose first byte
- * is overdue stays in the queue: its estimated end moves to half of the overdue
- * time from now. The first REPORT_SLACK_MS do not count as overdue, since the
- * report may be on its way.
+ * Holders of slots may report first bytes. If they do, a prompt whose first
+ * byte is overdue stays in the queue: its estimated end moves to half of the
+ * overdue time from now. The first REPORT_SLACK_MS do not count as overdue,
+ * since the report may be on its way.
  */
 import {REPORT_SLACK_MS} from './scheduler_constants.js';
 import type {WorkClass} from './scheduler_types.js';
@@ -22,15 +22,17 @@
   sentAt: number;
   /** Estimated time of its first byte. */
   endsAt: number;
-  /** Time before the first byte at which the engine is free for the next prompt. */
+  /**
+   * Time before the first byte at which the engine is free for the next prompt.
+   */
   overlapMs: number;
 }
 
 /**
- * The prompts that are probably not prefilled yet. The time to a first byte also
- * contains a network round trip and a batch step, which overlap with the next
- * prompt's prefill. When this part was counted as engine work, an endpoint started
- * only one batch item in each such period, and slots stayed empty.
+ * The prompts that are probably not prefilled yet. The time to a first byte
+ * also contains a network round trip and a batch step, which overlap with the
+ * next prompt's prefill. When this part was counted as engine work, an endpoint
+ * started only one batch item in each such period, and slots stayed empty.
  */
 export interface PrefillQueue {
   /** Adds a prompt and returns the estimated time of its first byte. */
@@ -45,7 +47,9 @@
   estimateBacklog(now: number): number;
   /** Whether a batch item is estimated to be in the queue. */
   hasBatch(now: number): boolean;
-  /** Returns the oldest prompt with an overdue first byte, if they are reported. */
+  /**
+   * Returns the oldest prompt with an overdue first byte, if they are reported.
+   */
   findOverdue(now: number): PendingPrefill | undefined;
 }
 
@@ -63,7 +67,9 @@
     }
   }
 
-  /** Shifts the prompts behind by the deviation of this one from its estimate. */
+  /**
+   * Shifts the prompts behind by the deviation of this one from its estimate.
+   */
   function updateFollowing(removed: PendingPrefill, now: number) {
     const shift = now - removed.endsAt;
     for (const each of pending.values()) {
@@ -94,7 +100,8 @@
       if (reason === 'first-byte') hasFirstByteReports = true;
       if (!removed) return;
       pending.delete(id);
-      // A stopped prompt frees the engine early only if its end was still ahead.
+      // A stopped prompt frees the engine early only if its end was still
+      // ahead.
       if (reason === 'first-byte' || removed.endsAt > now) {
         updateFollowing(removed, now);
       }
--- a/src/decisions/prefix_map.ts
+++ b/src/decisions/prefix_map.ts
@@ -7,10 +7,10 @@
  * unless waiting there costs more than prefilling elsewhere (endpoint_choice
  * compares the two).
  *
- * Prefixes of sent prompts count as stored, since the engine's cache events come
- * late. The events correct this. A gap in their sequence numbers means that
- * evictions were missed. Prefixes not used for PREFIX_STALE_MS then count as
- * evicted, since engines evict the least recently used ones.
+ * Prefixes of sent prompts count as stored, since the engine's cache events
+ * come late. The events correct this. A gap in their sequence numbers means
+ * that evictions were missed. Prefixes not used for PREFIX_STALE_MS then count
+ * as evicted, since engines evict the least recently used ones.
  */
 import {LRUCache} from 'lru-cache';
 import {
@@ -22,7 +22,9 @@
 
 /** The estimated prefix cache of one endpoint. */
 export interface PrefixMap {
-  /** Estimates the share of a prompt that is cached, 0 to 1, by leading blocks. */
+  /**
+   * Estimates the share of a prompt that is cached, 0 to 1, by leading blocks.
+   */
   estimateCachedShare(prefixHashes: readonly string[], now: number): number;
   /** Records that a prompt was sent to the endpoint. */
   noteSent(prefixHashes: readonly string[], now: number): void;
--- a/src/decisions/rate_bucket.ts
+++ b/src/decisions/rate_bucket.ts
@@ -1,20 +1,21 @@
 /**
  * The token bucket of one client account, maintained by its holder.
  *
- * Load pattern: requests of one account arrive at many instances at once, at times
- * at several times its rate. If the rate is divided among the instances, an account
- * with unevenly distributed requests has most of them refused although it is within
- * its rate. If it is not divided, every instance spends the whole rate. So there is
- * one bucket, and instances draw a token from it for each request.
+ * Load pattern: requests of one account arrive at many instances at once, at
+ * times at several times its rate. If the rate is divided among the instances,
+ * an account with unevenly distributed requests has most of them refused
+ * although it is within its rate. If it is not divided, every instance spends
+ * the whole rate. So there is one bucket, and instances draw a token from it
+ * for each request.
  *
- * Invariant: tokens + grants that may still be unspent <= burst. So in any window
- * the fleet spends at most what was unspent at its start (<= burst) and what was
- * earned in it (<= rate x t). Thresholds are in rate_constants.ts.
+ * Invariant: tokens + grants that may still be unspent <= burst. So in any
+ * window the fleet spends at most what was unspent at its start (<= burst) and
+ * what was earned in it (<= rate x t). Thresholds are in rate_constants.ts.
  *
- * A token may be granted before it is earned, together with the delay until then.
- * The caller waits up to MAX_TOKEN_DELAY_MS instead of being refused and retrying.
- * Such grants are limited to one burst in total, so that an open debt does not
- * block earning; each of them is earned when it is due.
+ * A token may be granted before it is earned, together with the delay until
+ * then. The caller waits up to MAX_TOKEN_DELAY_MS instead of being refused and
+ * retrying. Such grants are limited to one burst in total, so that an open debt
+ * does not block earning; each of them is earned when it is due.
  */
 import {
   CLOCK_MARGIN_MS,
@@ -55,7 +56,9 @@
   settle(grantId: number, unspent: number, now: number): void;
   /** Returns the level that is handed to the next holder. */
   readLevel(now: number): BucketLevel;
-  /** Reserves tokens for a successor; returns how many are reserved in total. */
+  /**
+   * Reserves tokens for a successor; returns how many are reserved in total.
+   */
   reserve(wanted: number, now: number): number;
   /** Returns all reserved tokens to the bucket. */
   releaseReserve(now: number): void;
@@ -93,7 +96,10 @@
   if (level.lent > 0) grantTokens(level.lent, now);
   tokens += level.lent;
 
-  /** Grants expire in the order of their creation, as all have the same lifetime. */
+  /**
+   * Grants expire in the order of their creation, as all have the same
+   * lifetime.
+   */
   function expireGrants(at: number) {
     for (const [id, grant] of grants) {
       if (grant.expiresAt > at) return;
@@ -103,8 +109,9 @@
   }
 
   /**
-   * Adds earned tokens. Lent and reserved tokens count as part of the burst. If they
-   * did not, old grants of up to a burst could be spent in addition to a full bucket.
+   * Adds earned tokens. Lent and reserved tokens count as part of the burst. If
+   * they did not, old grants of up to a burst could be spent in addition to a
+   * full bucket.
    */
   function refill(at: number) {
     const earned = (Math.max(0, at - filledAt) / 1000) * limits.rate;
@@ -114,7 +121,9 @@
     expireGrants(at);
   }
 
-  /** Counts how many of `wanted` more may be delayed when `taken` are immediate. */
+  /**
+   * Counts how many of `wanted` more may be delayed when `taken` are immediate.
+   */
   function countDelayed(wanted: number, taken: number): number {
     const debt = (limits.rate * MAX_TOKEN_DELAY_MS) / 1000;
     const earnedSoon = Math.floor(tokens - taken + debt + ROUNDING);
--- a/src/decisions/rate_constants.ts
+++ b/src/decisions/rate_constants.ts
@@ -1,15 +1,15 @@
 /** Constants of fleet-wide rate limits. Times are in ms. */
 
 /**
- * Time after the request for a token in which it must be spent. It covers a delayed
- * token and a slow response. It is short because a token counts against the burst
- * for as long as nobody knows whether it was spent.
+ * Time after the request for a token in which it must be spent. It covers a
+ * delayed token and a slow response. It is short because a token counts against
+ * the burst for as long as nobody knows whether it was spent.
  */
 export const GRANT_LIFETIME_MS = 600;
 
 /**
- * Extra time for which the holder counts a grant as unspent after its instance may
- * no longer spend it. It tolerates clocks that run at different speeds.
+ * Extra time for which the holder counts a grant as unspent after its instance
+ * may no longer spend it. It tolerates clocks that run at different speeds.
  */
 export const CLOCK_MARGIN_MS = 50;
 
@@ -31,10 +31,15 @@
 /** Maximum number of callers of one bucket that wait on one instance. */
 export const MAX_WAITING = 512;
 
-/** Longest time for which an instance remembers a refusal before asking again. */
+/**
+ * Longest time for which an instance remembers a refusal before asking again.
+ */
 export const MAX_REFUSAL_CACHE_MS = 100;
 
-/** Time after a takeover in which callers wait longer, as the bucket starts empty. */
+/**
+ * Time after a takeover in which callers wait longer, as the bucket starts
+ * empty.
+ */
 export const RECOVERY_MS = 10_000;
 
 /** Maximum number of tokens requested in one message. */
--- a/src/decisions/rate_member.ts
+++ b/src/decisions/rate_member.ts
@@ -1,16 +1,17 @@
 /**
- * Queues the requests of one account that wait on one instance for tokens of its
- * bucket.
+ * Queues the requests of one account that wait on one instance for tokens of
+ * its bucket.
  *
- * Load pattern: many simultaneous requests, an account above its rate, and a holder
- * that is lost while requests wait. Without this queue, each request asks the holder
- * by itself, an account at five times its rate costs five messages for each answered
- * request, and every request that arrives during a change of holder is refused.
+ * Load pattern: many simultaneous requests, an account above its rate, and a
+ * holder that is lost while requests wait. Without this queue, each request
+ * asks the holder by itself, an account at five times its rate costs five
+ * messages for each answered request, and every request that arrives during a
+ * change of holder is refused.
  *
- * At most one message is in flight at a time and asks for all waiting requests. A
- * refusal is remembered until the next token is due. While the bucket moves to
- * another holder, requests wait for a bounded time. A request is refused as soon as
- * it is certain that it gets no token in time.
+ * At most one message is in flight at a time and asks for all waiting requests.
+ * A refusal is remembered until the next token is due. While the bucket moves
+ * to another holder, requests wait for a bounded time. A request is refused as
+ * soon as it is certain that it gets no token in time.
  */
 import type {BucketGrant} from './rate_bucket.js';
 import {
@@ -51,12 +52,12 @@
   isIdle(): boolean;
 }
 
-interface Waiting {
+interface WaitingRequest {
   id: number;
   arrivedAt: number;
 }
 
-interface DelayedToken extends Waiting {
+interface DelayedToken extends WaitingRequest {
   dueAt: number;
   expiresAt: number;
   grant: OpenGrant;
@@ -70,7 +71,7 @@
 
 /** Creates an empty queue. */
 export function createRateMember(): RateMember {
-  let waiting: Waiting[] = [];
+  let waiting: WaitingRequest[] = [];
   let delayed: DelayedToken[] = [];
   let isDrawing = false;
   let askedFor = 0;
@@ -79,7 +80,7 @@
   let isUnavailable = false;
 
   function refuse(
-    {id}: Waiting,
+    {id}: WaitingRequest,
     reason: RateRefusal,
     retryAfterMs: number,
   ): MemberAction {
@@ -101,7 +102,9 @@
     return [{kind: 'settle', grantId: grant.id, unspent: grant.unspent}];
   }
 
-  /** Uses a token that is due. If it has expired, its request waits for another. */
+  /**
+   * Uses a token that is due. If it has expired, its request waits for another.
+   */
   function finishDelayed(token: DelayedToken, now: number): MemberAction[] {
     const {id, arrivedAt, grant} = token;
     if (now <= token.expiresAt) {
@@ -143,17 +146,17 @@
   function noteShortage(
     retryAfterMs: number,
     recovering: boolean,
-    asked: number,
+    unservedCount: number,
     now: number,
   ): MemberAction[] {
-    if (asked <= 0) return [];
+    if (unservedCount <= 0) return [];
     if (recovering) {
       drawAt = now + retryAfterMs;
       return [];
     }
     refusedUntil = now + Math.min(retryAfterMs, MAX_REFUSAL_CACHE_MS);
-    const left = waiting.splice(0, asked);
-    return left.map(one => refuse(one, 'over-rate', retryAfterMs));
+    const left = waiting.splice(0, unservedCount);
+    return left.map(request => refuse(request, 'over-rate', retryAfterMs));
   }
 
   function refuseOverdue(now: number): MemberAction[] {
@@ -161,9 +164,9 @@
       ({arrivedAt}) => now - arrivedAt >= MAX_TAKEOVER_WAIT_MS,
     );
     if (overdue.length === 0) return [];
-    waiting = waiting.filter(one => !overdue.includes(one));
+    waiting = waiting.filter(request => !overdue.includes(request));
     const reason = isUnavailable ? 'holder-unavailable' : 'over-rate';
-    return overdue.map(one => refuse(one, reason, 1000));
+    return overdue.map(request => refuse(request, reason, 1000));
   }
 
   function finishDue(now: number): MemberAction[] {
@@ -175,15 +178,15 @@
 
   return {
     submit(id, now) {
-      const one = {id, arrivedAt: now};
+      const request = {id, arrivedAt: now};
       if (now < refusedUntil) {
-        return [refuse(one, 'over-rate', refusedUntil - now)];
+        return [refuse(request, 'over-rate', refusedUntil - now)];
       }
       if (waiting.length >= MAX_WAITING) {
         const reason = isUnavailable ? 'holder-unavailable' : 'over-rate';
-        return [refuse(one, reason, 1000)];
+        return [refuse(request, reason, 1000)];
       }
-      waiting.push(one);
+      waiting.push(request);
       return drawAt === undefined ? planDraw() : [];
     },
     noteAnswer(answer, askedAt, now) {
@@ -196,9 +199,9 @@
         const {grant, recovering} = answer;
         const count = grant.immediate + grant.delayed;
         actions.push(...assignTokens(grant, askedAt, now));
-        const short = askedFor - count;
+        const unserved = askedFor - count;
         actions.push(
-          ...noteShortage(grant.retryAfterMs, recovering, short, now),
+          ...noteShortage(grant.retryAfterMs, recovering, unserved, now),
         );
       }
       actions.push(...refuseOverdue(now));
--- a/src/decisions/rate_share.test.ts
+++ b/src/decisions/rate_share.test.ts
@@ -8,7 +8,9 @@
 /** Maximum number of requests that the agreement allows in a window. */
 const MAX_AGREED_REQUESTS = (LIMITS.rate * 5 + LIMITS.burst) * 1.1 + 20;
 
-/** Requests a token every 10 ms from `from` to `to`; returns the grant times. */
+/**
+ * Requests a token every 10 ms from `from` to `to`; returns the grant times.
+ */
 function drawOften(
   bucket: ShareBucket,
   {from, to, share = 1, since = from}: Record<string, number>,
@@ -62,8 +64,8 @@
   });
 
   it('stays within the agreement during a network partition', () => {
-    // Guards against each side granting the whole rate. Six of ten instances see
-    // each other, four others decide alone; their shares add up to one.
+    // Guards against each side granting the whole rate. Six of ten instances
+    // see each other, four others decide alone; their shares add up to one.
     const owner = drawOften(createShareBucket(), {
       from: 0,
       to: 9000,
--- a/src/decisions/rate_share.ts
+++ b/src/decisions/rate_share.ts
@@ -1,28 +1,31 @@
 /**
- * Limits an account's rate with a bucket that is filled at one instance's share of
- * it.
+ * Limits an account's rate with a bucket that is filled at one instance's share
+ * of it.
  *
- * Load pattern: one account sends several times its rate through all instances at
- * once. With a full bucket on each of ten instances, ten times the rate passes. So
- * one instance, the account's owner, holds the bucket, and the others ask it for
- * each request. Instances come and go within seconds, so two more cases must stay
- * within what the agreement allows beyond the rate (a tenth, and some requests in
- * 5 s):
+ * Load pattern: one account sends several times its rate through all instances
+ * at once. With a full bucket on each of ten instances, ten times the rate
+ * passes. So one instance, the account's owner, holds the bucket, and the
+ * others ask it for each request. Instances come and go within seconds, so two
+ * more cases must stay within what the agreement allows beyond the rate (a
+ * tenth, and some requests in 5 s):
  *
  * - A new owner does not know what the previous one granted. It starts with
- *   START_BURST_SHARE of the burst, plus what the rate earned since it became the
- *   owner. So its rate continues where the previous owner's ended, and an account
- *   that was quiet for a while has its whole burst.
- * - An owner that does not see some of the known instances fills its bucket at the
- *   share of the rate that belongs to those it sees. An instance that is cut off
- *   from the owner has its own share. The shares of all sides add up to the rate.
+ *   START_BURST_SHARE of the burst, plus what the rate earned since it became
+ *   the owner. So its rate continues where the previous owner's ended, and an
+ *   account that was quiet for a while has its whole burst.
+ * - An owner that does not see some of the known instances fills its bucket at
+ *   the share of the rate that belongs to those it sees. An instance that is
+ *   cut off from the owner has its own share. The shares of all sides add up to
+ *   the rate.
  */
 import type {BucketLimits} from './rate_bucket.js';
 
 /** Share of the burst with which a bucket starts. */
 export const START_BURST_SHARE = 0.1;
 
-/** Minimum size and initial level of a bucket, so that a single request passes. */
+/**
+ * Minimum size and initial level of a bucket, so that a single request passes.
+ */
 export const MIN_TOKENS = 1;
 
 const MS_PER_S = 1000;
--- a/src/decisions/rate_view.ts
+++ b/src/decisions/rate_view.ts
@@ -1,21 +1,21 @@
 /**
- * Decides who may act as holder of a set of buckets. This is the holder, backed by
- * promises of up to two standbys in other failure domains, or one of these standbys
- * after it.
+ * Decides who may act as holder of a set of buckets. This is the holder, backed
+ * by promises of up to two standbys in other failure domains, or one of these
+ * standbys after it.
  *
- * Load pattern: none; this handles the loss of a holder. Waiting for a table lease
- * of 30 s to expire would refuse all requests of its accounts for that long, and
- * during an outage of the store no lease can be renewed or taken over at all. With
- * these promises a standby takes over within PROMISE_MS, whether the store is
- * available or not.
+ * Load pattern: none; this handles the loss of a holder. Waiting for a table
+ * lease of 30 s to expire would refuse all requests of its accounts for that
+ * long, and during an outage of the store no lease can be renewed or taken over
+ * at all. With these promises a standby takes over within PROMISE_MS, whether
+ * the store is available or not.
  *
- * Safety: with two standbys, the holder acts on the promise of one of them, and a
- * standby takes over with the votes of both, or of itself and the holder. With one
- * standby, the holder needs its promise, and the standby needs no other vote. Any
- * two such sets share an instance, which votes once and does not vote while its
- * promise is valid. The promise is valid from the time of the request by the
- * holder's clock, and from the time of the response, which is later, by the
- * standby's clock.
+ * Safety: with two standbys, the holder acts on the promise of one of them, and
+ * a standby takes over with the votes of both, or of itself and the holder.
+ * With one standby, the holder needs its promise, and the standby needs no
+ * other vote. Any two such sets share an instance, which votes once and does
+ * not vote while its promise is valid. The promise is valid from the time of
+ * the request by the holder's clock, and from the time of the response, which
+ * is later, by the standby's clock.
  */
 import {
   CLOCK_MARGIN_MS,
@@ -75,12 +75,12 @@
       promisedUntil = now + PROMISE_MS + CLOCK_MARGIN_MS;
       return {kind: 'promised'};
     },
-    vote(wanted, now) {
+    vote(requested, now) {
       const retryAfterMs = computeWait(now);
-      if (candidate === undefined && wanted !== holder && retryAfterMs > 0) {
+      if (candidate === undefined && requested !== holder && retryAfterMs > 0) {
         return {kind: 'wait', retryAfterMs};
       }
-      candidate ??= wanted;
+      candidate ??= requested;
       return {kind: 'voted', candidate};
     },
     concede(successor) {
@@ -104,8 +104,8 @@
   readonly isLost: boolean;
   readonly isOwned: boolean;
   /**
-   * Whether a grant made now expires before anyone else may act. A successor then
-   * need not wait for old grants.
+   * Whether a grant made now expires before anyone else may act. A successor
+   * then need not wait for old grants.
    */
   canGrant(now: number): boolean;
   listPromises(now: number): Record<string, number>;
@@ -147,7 +147,10 @@
   };
 }
 
-/** Whether these votes make `candidate` the only instance that may act in a view. */
+/**
+ * Whether these votes make `candidate` the only instance that may act in a
+ * view.
+ */
 export function isElected(
   view: RateView,
   candidate: string,
@@ -158,7 +161,8 @@
     .filter(member => votes.get(member) === candidate);
   const [holder, ...standbys] = view.members;
   if (standbys.length >= 2) return voters.length >= 2;
-  // With one standby, its vote is enough: the holder cannot act without its promise.
+  // With one standby, its vote is enough: the holder cannot act without its
+  // promise.
   const only = standbys[0]?.incarnation ?? holder.incarnation;
   return voters.includes(only);
 }
--- a/src/decisions/retry_budget.test.ts
+++ b/src/decisions/retry_budget.test.ts
@@ -4,7 +4,9 @@
 
 const REQUESTS_PER_SECOND = 50;
 
-/** Simulates requests for `seconds`; returns attempts per request and denials. */
+/**
+ * Simulates requests for `seconds`; returns attempts per request and denials.
+ */
 function simulateFailures(seconds: number, failing: (now: number) => boolean) {
   let budget = createRetryBudget(0);
   let attempts = 0;
--- a/src/decisions/retry_budget.ts
+++ b/src/decisions/retry_budget.ts
@@ -1,19 +1,19 @@
 /**
  * Decides whether a failed attempt may be retried.
  *
- * Load pattern: endpoints fail or go silent under high load. Without a budget, each
- * request is attempted up to its maximum. The load on the remaining endpoints
- * multiplies just when they can bear it least, and stays high after the cause is
- * gone.
+ * Load pattern: endpoints fail or go silent under high load. Without a budget,
+ * each request is attempted up to its maximum. The load on the remaining
+ * endpoints multiplies just when they can bear it least, and stays high after
+ * the cause is gone.
  *
- * Each new request earns a tenth of a retry, so the load grows by at most a tenth
- * even if every attempt fails. A reserve allows immediate retries after a single
- * failure at low traffic, and for the open requests of a lost failure domain. At
- * 1,700 requests per second over 360 instances and about 8 s per answer, an
- * instance has 38 open requests, half of them in one of the two failure domains of
- * its region; a reserve of 20 covers these. It refills by time alone within 40 s,
- * so that an instance with little traffic regains it between two failures. The test
- * of this module simulates both cases.
+ * Each new request earns a tenth of a retry, so the load grows by at most a
+ * tenth even if every attempt fails. A reserve allows immediate retries after a
+ * single failure at low traffic, and for the open requests of a lost failure
+ * domain. At 1,700 requests per second over 360 instances and about 8 s per
+ * answer, an instance has 38 open requests, half of them in one of the two
+ * failure domains of its region; a reserve of 20 covers these. It refills by
+ * time alone within 40 s, so that an instance with little traffic regains it
+ * between two failures. The test of this module simulates both cases.
  */
 
 /** Retries earned by each new request. */
--- a/src/decisions/scheduler_constants.ts
+++ b/src/decisions/scheduler_constants.ts
@@ -1,9 +1,12 @@
 /**
  * Thresholds of the pool scheduler. Times are in ms unless the name says
- * otherwise. The header of each module says what its thresholds protect against.
+ * otherwise. The header of each module says what its thresholds protect
+ * against.
  */
 
-/** Maximum number of waiting requests of one class in one pool; bounds memory. */
+/**
+ * Maximum number of waiting requests of one class in one pool; bounds memory.
+ */
 export const MAX_WAITING = 20_000;
 
 /** Share of the time until its deadline that a request may wait for a slot. */
@@ -47,7 +50,9 @@
 export const REPORT_SLACK_MS = 40;
 /** Delay that each running sequence adds to the first token of a new one. */
 export const RUNNING_COST_MS = 0.8;
-/** Engine time of one answer token in a batch; the unit of cost for fair shares. */
+/**
+ * Engine time of one answer token in a batch; the unit of cost for fair shares.
+ */
 export const ANSWER_TOKEN_WORK_MS = 1;
 
 /** Maximum number of prefix blocks tracked for one endpoint. */
@@ -57,9 +62,13 @@
 /** After lost cache events, prefixes unused for this long count as evicted. */
 export const PREFIX_STALE_MS = 15_000;
 
-/** A first byte this many times later than predicted was queued by the engine. */
+/**
+ * A first byte this many times later than predicted was queued by the engine.
+ */
 export const QUEUED_RATIO = 2.5;
-/** It must also be this much later, so that noise on short prompts is ignored. */
+/**
+ * It must also be this much later, so that noise on short prompts is ignored.
+ */
 export const QUEUED_EXCESS_MS = 150;
 /** Consecutive signs of queueing before the limit is lowered. */
 export const MIN_QUEUED_SIGNS = 2;
@@ -88,7 +97,9 @@
 export const SILENCES_TO_EJECT = 2;
 /** Number of expected gaps between answers before an endpoint is suspected. */
 export const SILENT_GAPS = 6;
-/** Multiple of the predicted first-byte time before an endpoint is suspected. */
+/**
+ * Multiple of the predicted first-byte time before an endpoint is suspected.
+ */
 export const SILENT_FIRST_BYTES = 4;
 /** Added to both of these timeouts, for report delays and network pauses. */
 export const SILENT_SLACK_MS = 300;
@@ -106,13 +117,17 @@
 export const REQUEUE_WAIT_MS = 2000;
 /** Minimum pieces of an item's answer in a run for its rate to be used. */
 export const MIN_PIECES_FOR_RATE = 10;
-/** Initial number of batch items on an endpoint; each answer allows one more. */
+/**
+ * Initial number of batch items on an endpoint; each answer allows one more.
+ */
 export const INITIAL_BATCH_ITEMS = 4;
 /** Averaging window of online demand. */
 export const DEMAND_WINDOW_MS = 1000;
 /** Typical time from a yield order until the slot is free. */
 export const YIELD_MS = 40;
-/** Time after a yield order at which a slot still held is no longer waited for. */
+/**
+ * Time after a yield order at which a slot still held is no longer waited for.
+ */
 export const YIELD_TIMEOUT_MS = 200;
 /**
  * A waiting online request is urgent if it must start within this time to be in
@@ -120,7 +135,10 @@
  * first holder is slow.
  */
 export const YIELD_SLACK_MS = 150;
-/** Cost of giving a batch item an endpoint's last slot, which an online request may need. */
+/**
+ * Cost of giving a batch item the last free slot of an endpoint, since an
+ * online request may need it.
+ */
 export const LAST_SLOT_COST_MS = 200;
 /** Maximum prefill backlog of an endpoint to which a batch item is sent. */
 export const MAX_BATCH_BACKLOG_MS = 0;
@@ -129,11 +147,17 @@
  * they can wait replaces free slots as the buffer.
  */
 export const DEFERRABLE_SHARE = 0.8;
-/** Slots per endpoint that batch work leaves free for urgent online requests. */
+/**
+ * Slots per endpoint that batch work leaves free for urgent online requests.
+ */
 export const BATCH_HEADROOM = 1;
-/** Free slots per endpoint below which items yield to urgent online requests. */
+/**
+ * Free slots per endpoint below which items yield to urgent online requests.
+ */
 export const FREE_SLOT_FLOOR = 0.25;
-/** Window for detecting a burst; a yielded slot is free again within this time. */
+/**
+ * Window for detecting a burst; a yielded slot is free again within this time.
+ */
 export const BURST_WINDOW_MS = 40;
 /** Multiple of the usual arrival rate that counts as a burst. */
 export const BURST_RATIO = 3;
--- a/src/decisions/scheduler_types.ts
+++ b/src/decisions/scheduler_types.ts
@@ -14,7 +14,9 @@
   deadline: number;
   /** Time by which its first byte should come; absent: as soon as possible. */
   targetAt?: number;
-  /** Time by which it must have a slot; otherwise its caller must retry later. */
+  /**
+   * Time by which it must have a slot; otherwise its caller must retry later.
+   */
   startBy?: number;
   /** Time by which a batch item's result is due; defaults to `deadline`. */
   dueAt?: number;
@@ -43,7 +45,10 @@
   slots?: number;
 }
 
-/** An endpoint's own load report; `at` is when it was measured, corrected for age. */
+/**
+ * An endpoint's own load report; `at` is when it was measured, corrected for
+ * age.
+ */
 export interface LoadReport {
   at: number;
   running: number;
--- a/src/decisions/segment_order.ts
+++ b/src/decisions/segment_order.ts
@@ -1,23 +1,23 @@
 /**
  * Decides from which job the next segment is claimed.
  *
- * Load pattern: several client accounts have open bundles of very different sizes
- * and due times, on a capacity that changes from second to second. Without an
- * order, the first large bundle holds the endpoints for an hour while a small one
- * passes its due time. By due time alone, an account that requests near due times
- * takes everything. By fair share alone, a job that would be late waits for jobs
- * that have all day.
+ * Load pattern: several client accounts have open bundles of very different
+ * sizes and due times, on a capacity that changes from second to second.
+ * Without an order, the first large bundle holds the endpoints for an hour
+ * while a small one passes its due time. By due time alone, an account that
+ * requests near due times takes everything. By fair share alone, a job that
+ * would be late waits for jobs that have all day.
  *
- * Accounts take turns by weighted service (start-time fair queueing): an account
- * that returns starts level with the least served one, so it accumulates no claim
- * while it is idle. Within an account, the job with the least laxity goes first.
- * Laxity is the time until the due time, minus the time that the remaining items
- * take.
+ * Accounts take turns by weighted service (start-time fair queueing): an
+ * account that returns starts level with the least served one, so it
+ * accumulates no claim while it is idle. Within an account, the job with the
+ * least laxity goes first. Laxity is the time until the due time, minus the
+ * time that the remaining items take.
  *
  * A job with a laxity below URGENT_LAXITY_MS goes before its account's turn, as
- * long as its account is at most `urgentCreditItems` of weighted service ahead of
- * the least served one. The account pays for this later, so requesting near due
- * times gains it this credit only once.
+ * long as its account is at most `urgentCreditItems` of weighted service ahead
+ * of the least served one. The account pays for this later, so requesting near
+ * due times gains it this credit only once.
  */
 
 /** An open job with unclaimed segments. Times are wall-clock times in ms. */
@@ -46,7 +46,9 @@
   ): JobCandidate | undefined;
   /** Charges an account for claimed items. */
   noteClaimed(account: string, items: number, weight: number): void;
-  /** Records that `items` ended within `elapsedMs`; laxity is estimated from it. */
+  /**
+   * Records that `items` ended within `elapsedMs`; laxity is estimated from it.
+   */
   noteRate(items: number, elapsedMs: number): void;
   describe(): object;
 }
--- a/src/decisions/slot_ledger.ts
+++ b/src/decisions/slot_ledger.ts
@@ -1,6 +1,7 @@
 /**
  * Tracks the endpoints of a pool and which requests hold their slots. An
- * endpoint that leaves the pool keeps its running requests and gets no new ones.
+ * endpoint that leaves the pool keeps its running requests and gets no new
+ * ones.
  */
 import {isOpen} from './endpoint_choice.js';
 import {
--- a/src/decisions/steps_beside_bundles.test.ts
+++ b/src/decisions/steps_beside_bundles.test.ts
@@ -1,7 +1,7 @@
 /**
  * Tests the service that callers get during steps of online load beside bundles
- * with due times. Runs on virtual time, with endpoints that run each request for a
- * fixed time.
+ * with due times. Runs on virtual time, with endpoints that run each request
+ * for a fixed time.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -93,11 +93,11 @@
 
   /** Stops an item; it keeps its partial answer and requests another slot. */
   function stopItem(id: string) {
-    const began = startedAt.get(id);
-    if (began === undefined) return;
+    const runStartedAt = startedAt.get(id);
+    if (runStartedAt === undefined) return;
     const request = requests.get(id)!;
     startedAt.delete(id);
-    const ranMs = Math.max(0, clock.now() - began - FIRST_BYTE_MS);
+    const ranMs = Math.max(0, clock.now() - runStartedAt - FIRST_BYTE_MS);
     const workMs = Math.max(0, leftMs.get(id)! - ranMs);
     apply(scheduler.release(id, {kind: 'yielded', tokens: 1}, clock.now()));
     submit({...request, id: `item:${requestCount++}`, workMs}, workMs);
@@ -170,10 +170,10 @@
   };
 }
 
-// Online load alternates between a seventh and all of the slots, and bundles need
-// the rest. Guards against a wrong reserve: if slots are kept free although online
-// requests have 225 ms to wait, bundles are late; with no reserve at all, online
-// requests wait behind items.
+// Online load alternates between a seventh and all of the slots, and bundles
+// need the rest. Guards against a wrong reserve: if slots are kept free
+// although online requests have 225 ms to wait, bundles are late; with no
+// reserve at all, online requests wait behind items.
 describe('steps of online load beside bundles with due times', () => {
   for (const seed of [1, 2, 3, 4]) {
     it(`leave both in time, seed ${seed}`, () => {
--- a/src/decisions/store_answers.ts
+++ b/src/decisions/store_answers.ts
@@ -1,18 +1,20 @@
 /**
- * Tracks since when the platform's store has been answering, and decides whether a
- * missing registration may have lapsed.
+ * Tracks since when the platform's store has been answering, and decides
+ * whether a missing registration may have lapsed.
  *
- * Load pattern: registrations lapse while the store is unavailable and return soon
- * after it. An instance that drops missing registrations at once refuses every
- * request. An instance that retains them for long sends requests to endpoints that
- * have left.
+ * Load pattern: registrations lapse while the store is unavailable and return
+ * soon after it. An instance that drops missing registrations at once refuses
+ * every request. An instance that retains them for long sends requests to
+ * endpoints that have left.
  *
- * Registrations lapse only if the store answers nobody. So the time that counts is
- * when the store answered any instance, not when this instance noticed: it may
- * have been the only one without store access, and it notices seconds late.
+ * Registrations lapse only if the store answers nobody. So the time that counts
+ * is when the store answered any instance, not when this instance noticed: it
+ * may have been the only one without store access, and it notices seconds late.
  */
 
-/** Time after the store recovers in which lapsed registrations return, in ms. */
+/**
+ * Time after the store recovers in which lapsed registrations return, in ms.
+ */
 export const REGISTRATION_RETURN_MS = 2000;
 
 /** A period in which the store answered without a long silence, in ms. */
@@ -22,8 +24,8 @@
 }
 
 /**
- * Merges two periods, or returns the newer one if a silence of at least `lapseMs`
- * lies between them, the shortest in which a registration can lapse.
+ * Merges two periods, or returns the newer one if a silence of at least
+ * `lapseMs` lies between them, the shortest in which a registration can lapse.
  */
 export function mergeRuns(
   held: AnswerRun | undefined,
@@ -38,7 +40,9 @@
   };
 }
 
-/** Whether a missing registration may have lapsed while its endpoint is alive. */
+/**
+ * Whether a missing registration may have lapsed while its endpoint is alive.
+ */
 export function shouldKeepMissing(
   {from, to}: AnswerRun,
   lapseMs: number,
--- a/src/decisions/waiting_queues.ts
+++ b/src/decisions/waiting_queues.ts
@@ -1,8 +1,8 @@
 /**
- * The requests that wait for a slot of one pool, in four queues: online requests
- * that can still be in time, online requests that cannot, and batch items
- * likewise, each in fair order. overdue.ts and batch_order.ts explain why late
- * requests have queues of their own.
+ * The requests that wait for a slot of one pool, in four queues: online
+ * requests that can still be in time, online requests that cannot, and batch
+ * items likewise, each in fair order. overdue.ts and batch_order.ts explain why
+ * late requests have queues of their own.
  */
 import {createFairQueue, type FairQueue} from './fair_queue.js';
 import type {Mechanisms} from './mechanisms.js';
@@ -50,8 +50,9 @@
   const all = [online, overdue, batch, late];
 
   /**
-   * Moves the requests at the head of each account's queue that meet a condition.
-   * The requests behind the first one that stays are due later than it.
+   * Moves the requests at the head of each account's queue that meet a
+   * condition. The requests behind the first one that stays are due later than
+   * it.
    */
   function pushHeads(
     from: FairQueue,
--- a/src/decisions/waiting_tokens.ts
+++ b/src/decisions/waiting_tokens.ts
@@ -1,15 +1,15 @@
 /**
- * Bounds the batch work that an account may have waiting on a route in the whole
- * fleet.
+ * Bounds the batch work that an account may have waiting on a route in the
+ * whole fleet.
  *
- * Load pattern: one account submits bundles faster than the fleet processes them.
- * Without a bound its backlog grows until all its bundles are late, including the
- * first ones. With it, excess bundles are refused at once and callers know that
- * they must retry later.
+ * Load pattern: one account submits bundles faster than the fleet processes
+ * them. Without a bound its backlog grows until all its bundles are late,
+ * including the first ones. With it, excess bundles are refused at once and
+ * callers know that they must retry later.
  *
- * The sum of waiting tokens may be too high but never too low: a bundle counts in
- * full until its progress is checked. So a bundle that fits by this sum does fit,
- * and progress has to be checked only for one that does not.
+ * The sum of waiting tokens may be too high but never too low: a bundle counts
+ * in full until its progress is checked. So a bundle that fits by this sum does
+ * fit, and progress has to be checked only for one that does not.
  */
 
 import * as z from 'zod';
@@ -36,10 +36,14 @@
 export type BundleView =
   {isOpen: boolean; total: number; listed: number} | undefined;
 
-/** Longest time from the entry of a bundle to the write that creates it, in ms. */
+/**
+ * Longest time from the entry of a bundle to the write that creates it, in ms.
+ */
 export const ENTRY_GRACE_MS = 10_000;
 
-/** Whether a bundle fits beside the others; an existing entry of it is replaced. */
+/**
+ * Whether a bundle fits beside the others; an existing entry of it is replaced.
+ */
 export function isFitting(
   waiting: WaitingBundles,
   id: string,
@@ -52,9 +56,9 @@
 }
 
 /**
- * Updates an entry by the state of its bundle; undefined if it no longer counts.
- * A missing bundle may still be created until ENTRY_GRACE_MS after its entry,
- * since a write whose response was lost can take effect late.
+ * Updates an entry by the state of its bundle; undefined if it no longer
+ * counts. A missing bundle may still be created until ENTRY_GRACE_MS after its
+ * entry, since a write whose response was lost can take effect late.
  */
 export function updateEntry(
   entry: WaitingBundle,
