--- a/src/decisions/item_work.ts
+++ b/src/decisions/item_work.ts
@@ -5,6 +5,9 @@
  * Load pattern: items that were stopped for online requests and resume where
  * they were. Estimated by the run time of a complete item, an item that is
  * nearly done seems too late to be in time, and goes behind items that are not.
+ *
+ * The estimate is the number of pieces that a mean item still lacks, multiplied
+ * by the mean time per piece.
  */
 import {AVERAGE_GAIN, MIN_PIECES_FOR_RATE} from './scheduler_constants.js';
 
--- a/src/decisions/pool_scheduler.ts
+++ b/src/decisions/pool_scheduler.ts
@@ -189,7 +189,10 @@
     );
   }
 
-  /** Grants in fair order; skips accounts whose next request must wait. */
+  /**
+   * Grants in fair order; skips accounts whose next request must wait. `newId`
+   * is the request being submitted, which is never refused as too late.
+   */
   function grantOnline(
     open: readonly EndpointTracker[],
     now: number,
--- a/src/decisions/rate_member.ts
+++ b/src/decisions/rate_member.ts
@@ -65,7 +65,7 @@
 
 interface OpenGrant {
   id: number;
-  left: number;
+  remaining: number;
   unspent: number;
 }
 
@@ -74,7 +74,7 @@
   let waiting: WaitingRequest[] = [];
   let delayed: DelayedToken[] = [];
   let isDrawing = false;
-  let askedFor = 0;
+  let requestedCount = 0;
   let drawAt: number | undefined;
   let refusedUntil = -Infinity;
   let isUnavailable = false;
@@ -91,14 +91,14 @@
     if (isDrawing || waiting.length === 0) return [];
     isDrawing = true;
     drawAt = undefined;
-    askedFor = Math.min(waiting.length, MAX_DRAW);
-    return [{kind: 'draw', wanted: askedFor}];
+    requestedCount = Math.min(waiting.length, MAX_DRAW);
+    return [{kind: 'draw', wanted: requestedCount}];
   }
 
   function finishToken(grant: OpenGrant, spent: boolean): MemberAction[] {
-    grant.left--;
+    grant.remaining--;
     if (!spent) grant.unspent++;
-    if (grant.left > 0) return [];
+    if (grant.remaining > 0) return [];
     return [{kind: 'settle', grantId: grant.id, unspent: grant.unspent}];
   }
 
@@ -120,23 +120,25 @@
     now: number,
   ): MemberAction[] {
     const count = granted.immediate + granted.delayed;
-    const takers = waiting.splice(0, count);
+    const requests = waiting.splice(0, count);
     const grant: OpenGrant = {
       id: granted.id,
-      left: takers.length,
-      unspent: count - takers.length,
+      remaining: requests.length,
+      unspent: count - requests.length,
     };
-    const tokens = takers.map((taker, index): DelayedToken => {
-      const place = index - granted.immediate;
+    const tokens = requests.map((request, index): DelayedToken => {
+      const delayedIndex = index - granted.immediate;
       const delay =
-        place < 0 ? 0 : granted.firstDelayMs + place * granted.spacingMs;
+        delayedIndex < 0
+          ? 0
+          : granted.firstDelayMs + delayedIndex * granted.spacingMs;
       const expiresAt = askedAt + GRANT_LIFETIME_MS - CLOCK_MARGIN_MS;
-      return {...taker, dueAt: now + delay, expiresAt, grant};
+      return {...request, dueAt: now + delay, expiresAt, grant};
     });
     delayed.push(...tokens.filter(({dueAt}) => dueAt > now));
     const due = tokens.filter(({dueAt}) => dueAt <= now);
     const actions = due.flatMap(token => finishDelayed(token, now));
-    if (takers.length === 0 && count > 0) {
+    if (requests.length === 0 && count > 0) {
       actions.push({kind: 'settle', grantId: granted.id, unspent: count});
     }
     return actions;
@@ -199,7 +201,7 @@
         const {grant, recovering} = answer;
         const count = grant.immediate + grant.delayed;
         actions.push(...assignTokens(grant, askedAt, now));
-        const unserved = askedFor - count;
+        const unserved = requestedCount - count;
         actions.push(
           ...noteShortage(grant.retryAfterMs, recovering, unserved, now),
         );
