--- a/src/instance/dispatch/constants.ts
+++ b/src/instance/dispatch/constants.ts
@@ -1,83 +1,85 @@
 /** Constants of dispatch. Times in ms. */
 
 /**
- * Endpoints of one pool, at the most. One dispatcher sees every request of its
- * pool, so the size bounds what one instance spends on deciding. With two pools
- * a request waits in one while the other has free slots: a fleet of 42
- * endpoints is better off as one pool, and 1,900 still make 30.
+ * Largest number of endpoints in one pool. One dispatcher handles every request
+ * of its pool, so this bounds the work of one instance. Splitting endpoints too
+ * early wastes slots, because a request can wait in one pool while another has
+ * free ones: 42 endpoints stay in one pool, and 1,900 endpoints make 30 pools.
  */
 export const MAX_POOL_ENDPOINTS = 64;
 
-/** While anything waits, the scheduler looks again this often. */
+/** Interval at which the scheduler decides again while requests wait or run. */
 export const DECIDE_INTERVAL_MS = 20;
 
 /**
- * A dispatcher answers a waiting request at least this often, if only with
- * `waiting`: its silence is then noticed well before the deadline.
+ * A dispatcher responds to a waiting request at least this often, if only with
+ * `waiting`, so that its silence is noticed well before the deadline.
  */
-export const ACQUIRE_TURN_MS = 250;
+export const ACQUIRE_POLL_MS = 250;
 
-/** Answer to a turn that is later than this by so much counts as silence. */
+/** How much later than ACQUIRE_POLL_MS a response may arrive. */
 export const ACQUIRE_GRACE_MS = 150;
 
-/** After a dispatcher fell silent, the next one is asked for this long. */
+/** How long the next dispatcher is used after one did not respond. */
 export const DISPATCHER_COOLDOWN_MS = 1000;
 
 /**
- * A dispatcher that said it stops is passed over for so long; by then news of
- * its leaving has come round. One that only stood down is soon asked again.
+ * How long a dispatcher that announced its stop is skipped. By then the update
+ * that it left has propagated. One that only stood down is soon used again.
  */
-export const LEAVING_MEMORY_MS = 3000;
+export const LEAVING_SKIP_MS = 3000;
 
 /**
- * Dispatchers that may be silent to one instance at once. With more, the fault
- * is more likely here, and the instance decides alone within its share: as
- * dispatcher of what it can still see, it would grant others' slots.
+ * Largest number of dispatchers that may be silent to one instance at once.
+ * With more, the fault is more likely on this instance, which then falls back
+ * to its own share of the pool: if it became the dispatcher instead, it would
+ * grant slots that the dispatchers it cannot reach grant as well.
  */
 export const MAX_SILENT_DISPATCHERS = 2;
 
-/** Releases are collected for this long and sent together. */
+/** Time for which releases are collected before they are sent together. */
 export const RELEASE_INTERVAL_MS = 10;
 
-/** Each holder tells its dispatchers this often which slots it holds. */
+/** Interval at which each holder reports its slots to their dispatchers. */
 export const REPORT_INTERVAL_MS = 2000;
 
 /**
- * A slot that its holder does not report this long after it was granted was
- * granted in an answer that was lost; it is released. Two reports fit in, so
- * that one lost report frees nothing that runs.
+ * A slot that its holder has not reported for this long was granted in a
+ * response that was lost, and is released. The period covers two reports, so
+ * that one lost report does not free the slot of a running request.
  */
 export const UNREPORTED_SLOT_MS = 3 * REPORT_INTERVAL_MS;
 
-/** Reports that say that no slot of a pool is held any more. */
-export const EMPTY_REPORTS = 3;
+/** Number of empty reports that a holder sends after its last slot of a pool. */
+export const EMPTY_REPORT_COUNT = 3;
 
 /**
- * A slot granted this long before a report that lacks it is free: the answer
- * that granted it came to its holder before that, or the holder gave it up.
+ * A slot that was granted at least this long before a report that lacks it is
+ * free: by then the holder had received the grant or had stopped waiting for it.
  */
-export const REPORT_GUARD_MS = ACQUIRE_TURN_MS + ACQUIRE_GRACE_MS;
+export const REPORT_GUARD_MS = ACQUIRE_POLL_MS + ACQUIRE_GRACE_MS;
 
-/** A pool that nobody used for so long is forgotten. */
+/** Idle time after which a pool is removed. */
 export const IDLE_POOL_MS = 60_000;
 
-/** Pools that one request tries, at the most. */
+/** Largest number of pools that one request tries. */
 export const MAX_POOLS_TRIED = 2;
 
 /**
- * Times that one request asks, at the most: dispatchers that stop and endpoints
- * that leave send it on, and two views that differ would send it on for ever.
+ * Largest number of times that one request asks for a slot. Dispatchers that
+ * stop and endpoints that leave make it ask again, and without a limit two
+ * instances with different views would send it back and forth for ever.
  */
 export const MAX_SLOT_ROUNDS = 6;
 
-/** When a request that found no endpoint may come back. */
+/** Delay after which a caller may retry a request that found no endpoint. */
 export const NO_ENDPOINT_RETRY_MS = 1000;
 
-/** A dispatcher asks each endpoint of its pools for load this often. */
+/** Interval at which a dispatcher asks each endpoint of its pools for its load. */
 export const OBSERVE_INTERVAL_MS = 2000;
 
 /**
- * A dispatcher that has just taken over waits this long for what the others
- * know of its pool; they answer within 3 ms, and requests wait meanwhile.
+ * How long a dispatcher that has just taken over waits for the other instances
+ * to describe its pool. They respond within 3 ms, and requests wait meanwhile.
  */
 export const GATHER_TIMEOUT_MS = 60;
--- a/src/instance/dispatch/dispatch.ts
+++ b/src/instance/dispatch/dispatch.ts
@@ -1,6 +1,7 @@
 /**
- * Which endpoint a request runs on, and when. A slot is the leave to have one
- * request running on one endpoint; it is given back when the request ends.
+ * Interface of dispatch, which decides on which endpoint a request runs and
+ * when. A slot is the permission to run one request on one endpoint; it is
+ * released when the request ends.
  */
 import type {
   SchedulerOutcome,
@@ -10,7 +11,7 @@
 
 export type {WorkClass} from '../../decisions/scheduler_types.js';
 
-/** What a dispatcher needs to know of a request. */
+/** Properties of a request by which a dispatcher places it. */
 export interface SlotRequest {
   requestId: string;
   service: string;
@@ -19,54 +20,57 @@
   weight: number;
   workClass: WorkClass;
   model: string;
-  /** Monotonic time after which the answer is of no use. */
+  /** Monotonic time after which the response is of no use. */
   deadline: number;
-  /** Monotonic time by which the first byte should come. */
+  /** Monotonic time by which the first byte should arrive. */
   targetAt?: number;
-  /** Monotonic time by which it must have a slot. */
+  /** Monotonic time by which the request must have a slot. */
   startBy?: number;
   /** Monotonic time by which a batch item's result is due. */
   dueAt?: number;
-  /** How long a batch item still takes on an endpoint. */
+  /** Remaining time that a batch item needs on an endpoint. */
   workMs?: number;
-  /** Rough size of the prompt and of the answer, in tokens. */
+  /** Estimated sizes of the prompt and of the response, in tokens. */
   promptTokens: number;
   answerTokens: number;
   /** Digests of the prompt's leading blocks, shortest prefix first. */
   prefixHashes: readonly string[];
-  /** Endpoints that failed this request before. */
+  /** Endpoints on which this request failed before. */
   avoid: readonly string[];
-  /** Ends the wait when the caller is gone. */
+  /** Ends the wait when the caller disconnects. */
   signal: AbortSignal;
 }
 
-/** The services that dispatch knows. */
+/** The configured services, as far as dispatch needs them. */
 export interface ServiceCatalog {
-  /** Requests one endpoint runs at once; undefined for an unknown service. */
+  /** Requests that one endpoint runs at once; undefined for an unknown service. */
   findConcurrency(service: string): number | undefined;
   listServices(): string[];
 }
 
-/** How the request on a slot went, as seen by the instance that sent it. */
+/** Outcome of the request on a slot, as seen by the instance that sent it. */
 export type SlotOutcome = SchedulerOutcome;
 
-/** Who granted a slot: this instance, another one, or nobody but its share. */
+/**
+ * Who granted a slot: this instance as dispatcher, a dispatcher on another
+ * instance, or this instance from its own share without a dispatcher.
+ */
 export type SlotWay = 'own' | 'remote' | 'alone';
 
-/** Leave to run one request on one endpoint. */
+/** Permission to run one request on one endpoint. */
 export interface Slot {
   endpoint: ListedInstance;
   way: SlotWay;
-  /** Aborted when the dispatcher wants a batch item to make way. */
+  /** Aborted when the dispatcher wants a batch item to yield to other work. */
   yieldSignal: AbortSignal;
-  /** Told once when the first byte came, so that its decider learns early. */
+  /** Called once when the first byte arrives, so that the dispatcher learns early. */
   noteFirstByte?(firstByteMs: number): void;
-  /** Called once, when the request has ended there. */
+  /** Called once, when the request has ended on the endpoint. */
   release(outcome: SlotOutcome): void;
 }
 
-/** Gives out slots. */
+/** Grants slots to requests of this instance. */
 export interface Dispatch {
-  /** Throws RouterError with verdict not-run when no slot can be had in time. */
+  /** Throws RouterError with verdict not-run when no slot is granted in time. */
   acquireSlot(request: SlotRequest): Promise<Slot>;
 }
--- a/src/instance/dispatch/dispatch_router.ts
+++ b/src/instance/dispatch/dispatch_router.ts
@@ -5,7 +5,7 @@
 import type {ScheduledRequest} from '../../decisions/scheduler_types.js';
 import type {ListedInstance} from '../../stores/instance_list.js';
 import {buildPeerRouterOf, peerProcedure} from '../peers/peer_procedures.js';
-import {ACQUIRE_TURN_MS} from './constants.js';
+import {ACQUIRE_POLL_MS} from './constants.js';
 import type {PoolTable} from './pool_table.js';
 import {
   acquireSchema,
@@ -20,17 +20,17 @@
   type WireRequest,
 } from './dispatch_schemas.js';
 
-/** What the procedures work with. */
+/** Dependencies of the procedures. */
 export interface DispatchRouterDependencies {
   clock: Clock;
   pools: PoolTable;
-  /** Makes a batch item held by this instance give its slot back. */
+  /** Makes a batch item of this instance yield its slot. */
   yieldSlot: (requestId: string) => void;
-  /** A dispatcher stops or stands down. */
+  /** Records that a dispatcher stops or stands down. */
   noteMoved: (dispatcher: string) => void;
-  /** What this instance knows of a pool. */
+  /** Describes the slots that this instance holds in a pool, and its latency. */
   describePool: (poolName: string) => PoolDescription;
-  /** An endpoint of a pool as it is listed here. */
+  /** Finds this instance's list entry of an endpoint of a pool. */
   findEndpoint: (
     service: string,
     poolName: string,
@@ -38,7 +38,7 @@
   ) => ListedInstance | undefined;
 }
 
-/** Procedures that other instances call on this one's dispatch. */
+/** Builds the procedures that other instances call on this instance's dispatch. */
 export function buildDispatchRouter({
   clock,
   pools,
@@ -56,7 +56,7 @@
         const request = decodeRequest(input.request, clock.now());
         const answer = await Promise.race([
           pool.submit(request, input.holder),
-          waitFor(clock, ACQUIRE_TURN_MS).then(() => WAITING),
+          waitFor(clock, ACQUIRE_POLL_MS).then(() => WAITING),
         ]);
         if (answer.kind !== 'granted') return answer;
         const listed = findEndpoint(input.service, input.pool, answer.endpoint);
@@ -85,7 +85,7 @@
   });
 }
 
-/** Hands each reported slot to its pool; opens pools of which slots are held. */
+/** Passes the reported slots to their pools, and opens pools with held slots. */
 export function receiveReport(
   pools: PoolTable,
   {holder, pools: names, slots}: ReportInput,
@@ -108,7 +108,7 @@
 const WAITING: AcquireAnswer = {kind: 'waiting'};
 const MOVED: AcquireAnswer = {kind: 'moved'};
 
-/** The deadline on this instance's clock. */
+/** Converts the remaining times of a request to this instance's clock. */
 export function decodeRequest(
   {remainingMs, targetMs, startMs, dueMs, ...request}: WireRequest,
   now: number,
@@ -123,7 +123,7 @@
   };
 }
 
-/** What remains of the deadline, for an instance with another clock. */
+/** Converts times to remaining times, for an instance with another clock. */
 export function encodeRequest(
   {deadline, targetAt, startBy, dueAt, ...request}: ScheduledRequest,
   now: number,
--- a/src/instance/dispatch/dispatch_schemas.ts
+++ b/src/instance/dispatch/dispatch_schemas.ts
@@ -4,18 +4,18 @@
 
 const workClassSchema = z.enum(['online', 'batch']);
 
-/** A request as it travels: the deadline is what remains of it. */
+/** A request as it is sent to a dispatcher; times are relative to the sending. */
 export const wireRequestSchema = z.strictObject({
   id: z.string(),
   account: z.string(),
   weight: z.number(),
   workClass: workClassSchema,
   remainingMs: z.number(),
-  /** What remains until its first byte should come; may be below 0. */
+  /** Time left until its first byte should arrive; may be negative. */
   targetMs: z.number().optional(),
-  /** What remains until it must have a slot; may be below 0. */
+  /** Time left until it must have a slot; may be negative. */
   startMs: z.number().optional(),
-  /** What remains until a batch item's result is due; may be below 0. */
+  /** Time left until a batch item's result is due; may be negative. */
   dueMs: z.number().optional(),
   workMs: z.number().optional(),
   promptTokens: z.number(),
@@ -24,7 +24,7 @@
   avoid: z.array(z.string()),
 });
 
-/** Ask for a slot, or ask again about a request that waits. */
+/** Asks for a slot, or asks again for a request that is waiting. */
 export const acquireSchema = z.strictObject({
   service: z.string(),
   pool: z.string(),
@@ -40,14 +40,14 @@
   totals: z.strictObject({online: z.number(), batch: z.number()}),
 });
 
-/** Answer to `acquire`. */
+/** Response to `acquire`. */
 export const acquireAnswerSchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('granted'),
     endpoint: z.string(),
-    /** As the dispatcher has it listed, for one that hears no news of it. */
+    /** The dispatcher's list entry, for a holder without store access. */
     listed: listedInstanceSchema.optional(),
-    /** What the dispatcher has learned: the next one is told. */
+    /** The dispatcher's latency model, which the holder passes to the next one. */
     latency: latencySchema.optional(),
   }),
   z.strictObject({
@@ -55,13 +55,13 @@
     reason: z.enum(['deadline', 'overloaded', 'no-endpoint']),
     retryAfterMs: z.number(),
   }),
-  /** Still in the queue: ask again. */
+  /** The request is still queued; the holder asks again. */
   z.strictObject({kind: z.literal('waiting')}),
-  /** The dispatcher stops: ask the one that ranks first now. */
+  /** The dispatcher stops; the holder asks the one that ranks first now. */
   z.strictObject({kind: z.literal('moved')}),
 ]);
 
-/** How a request on a slot went. */
+/** Outcome of a request on a slot. */
 export const outcomeSchema = z.strictObject({
   kind: z.enum([
     'answered',
@@ -76,7 +76,7 @@
   tokens: z.number(),
 });
 
-/** Slots given back together, and first bytes. Releasing twice is harmless. */
+/** Slots released together, and first bytes. Releasing twice is harmless. */
 export const releaseSchema = z.strictObject({
   firstBytes: z
     .array(
@@ -103,26 +103,26 @@
   request: wireRequestSchema,
 });
 
-/** Every slot of the named pools that the sender holds. */
+/** All slots of the named pools that the sender holds. */
 export const reportSchema = z.strictObject({
   holder: z.string(),
   pools: z.array(z.string()),
   slots: z.array(heldSlotSchema),
 });
 
-/** Asks what the receiver knows of a pool. */
+/** Asks the receiver to describe a pool. */
 export const poolNameSchema = z.strictObject({pool: z.string()});
 
-/** What an instance knows of a pool. */
+/** The slots that an instance holds in a pool, and the latency it knows. */
 export const poolDescriptionSchema = z.strictObject({
   slots: z.array(heldSlotSchema),
   latency: latencySchema.optional(),
 });
 
-/** A dispatcher that stops or stands down, by its peer address. */
+/** Announces that a dispatcher, named by peer address, stops or stands down. */
 export const movedSchema = z.strictObject({dispatcher: z.string()});
 
-/** Batch items that must make way at once. */
+/** Batch items that must yield their slots at once. */
 export const yieldSchema = z.strictObject({requestIds: z.array(z.string())});
 
 /** Type of the schema of the same name. */
--- a/src/instance/dispatch/endpoint_observer.ts
+++ b/src/instance/dispatch/endpoint_observer.ts
@@ -1,7 +1,7 @@
 /**
- * Brings engines' own reports to the schedulers: load, late by seconds, and
- * cache events, late and with gaps. Only the dispatcher of a pool asks its
- * endpoints, so that each is asked once and not by every instance.
+ * Passes the engines' own reports to the schedulers: their load, which is
+ * seconds old, and their cache events, which arrive late and with gaps. Only the
+ * dispatcher of a pool polls its endpoints, so that not every instance does.
  */
 import {RouterError} from '../../common/errors.js';
 import type {Clock} from '../../common/clock.js';
@@ -16,7 +16,7 @@
 import type {PoolDispatcher} from './pool_dispatcher.js';
 import type {OpenPool, PoolTable} from './pool_table.js';
 
-/** What the observer works with. */
+/** Dependencies of the observer. */
 export interface EndpointObserverDependencies {
   clock: Clock;
   pools: PoolTable;
@@ -26,13 +26,13 @@
   metrics: Metrics;
 }
 
-/** Asks the endpoints of the pools that this instance dispatches for. */
+/** Polls the endpoints of the pools that this instance dispatches for. */
 export interface EndpointObserver {
-  /** Asks each once; endpoints that fail are counted and passed over. */
+  /** Polls each endpoint once; failures are counted and skipped. */
   poll(): Promise<void>;
 }
 
-/** Remembers up to which cache event each endpoint was heard. */
+/** Creates an observer, which remembers the last cache event of each endpoint. */
 export function createEndpointObserver({
   clock,
   pools,
@@ -41,13 +41,13 @@
   adapters,
   metrics,
 }: EndpointObserverDependencies): EndpointObserver {
-  const heardUpTo = new Map<string, number>();
+  const lastSequences = new Map<string, number>();
   const failures = metrics.createCounter(
     'dispatch_observations_failed_total',
     'Load or cache reports that an endpoint did not give',
   );
 
-  /** The engine's wall time on this instance's monotonic clock. */
+  /** Converts an engine's wall time to this instance's monotonic clock. */
   function convertTime(at: number): number {
     const ageMs = Math.max(0, clock.wallNow() - at);
     return clock.now() - ageMs;
@@ -61,10 +61,10 @@
     const {address} = target.endpoint;
     const load = await control.fetchLoad(target);
     dispatcher.noteLoad(address, {...load, at: convertTime(load.at)});
-    const after = heardUpTo.get(address) ?? 0;
+    const after = lastSequences.get(address) ?? 0;
     const events = await control.fetchCacheEvents(target, after);
     for (const event of events) dispatcher.noteCacheEvent(address, event);
-    heardUpTo.set(address, events.at(-1)?.sequence ?? after);
+    lastSequences.set(address, events.at(-1)?.sequence ?? after);
   }
 
   async function observePool({name, service, dispatcher}: OpenPool) {
--- a/src/instance/dispatch/fake_fleet.ts
+++ b/src/instance/dispatch/fake_fleet.ts
@@ -1,4 +1,4 @@
-/** Several instances' dispatch on one virtual clock, for tests. */
+/** Dispatch of several instances on one virtual clock, for tests. */
 import {createSilentLog} from '../../common/log.js';
 import {createMetrics} from '../../common/metrics.js';
 import {createVirtualClock} from '../../common/virtual_clock.js';
@@ -13,11 +13,11 @@
   ReturnType<typeof buildDispatchRouter>['createCaller']
 >;
 
-/** What a test does to messages between instances. */
+/** Network faults that a test injects. */
 export interface FakeNetwork {
-  /** Instances that neither answer nor are answered. */
+  /** Instances whose calls and responses are all lost. */
   silent: Set<string>;
-  /** Answers of these instances to `acquire` are lost after effect. */
+  /** Instances whose responses to `acquire` are lost after taking effect. */
   losesAnswers: Set<string>;
 }
 
@@ -34,8 +34,8 @@
 }
 
 /**
- * Instances at `addresses`, all with the same view. `hasGather`: they tell a new
- * dispatcher what they hold.
+ * Creates instances at `addresses`, all with the same view. With `hasGather`
+ * they tell a new dispatcher which slots they hold.
  */
 export function createFakeFleet(
   addresses: readonly string[],
@@ -125,7 +125,7 @@
   return {clock, network, live, owner, others, instances};
 }
 
-/** A request with a minute to go. */
+/** Makes a request whose deadline is 60,000 ms. */
 export function makeSlotRequest(
   requestId: string,
   workClass: WorkClass = 'online',
--- a/src/instance/dispatch/lone_dispatch.test.ts
+++ b/src/instance/dispatch/fallback_dispatch.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
-import {selectOwnShare} from './lone_dispatch.js';
+import {selectOwnShare} from './fallback_dispatch.js';
 
 function makeNames(prefix: string, count: number): string[] {
   return Array.from({length: count}, (_, index) => `${prefix}-${index}`);
 }
 
-describe('the share of an instance that decides alone', () => {
-  it('keeps all instances together within each endpoint limit', () => {
+describe('own share of an instance in fallback dispatch', () => {
+  it('keeps all instances together within the limit of each endpoint', () => {
     fc.assert(
       fc.property(
         fc.integer({min: 1, max: 64}),
@@ -30,7 +30,7 @@
               used.set(address, before + share.limits.maxConcurrency);
             }
           }
-          assert.equal(used.size, 5, 'every endpoint is used by somebody');
+          assert.equal(used.size, 5, 'some instance uses every endpoint');
           for (const sum of used.values()) assert.ok(sum <= limit);
         },
       ),
--- a/src/instance/dispatch/lone_dispatch.ts
+++ b/src/instance/dispatch/fallback_dispatch.ts
@@ -1,6 +1,7 @@
 /**
- * Deciding without a dispatcher. Each instance then uses its own share of each
- * endpoint, so that all instances together stay within the endpoint's limit.
+ * Fallback dispatch, used when no dispatcher responds. Each instance then uses
+ * only its own share of each endpoint, so that all instances together stay
+ * within the endpoint's limit.
  */
 import type {Clock} from '../../common/clock.js';
 import type {LatencySnapshot} from '../../decisions/latency_model.js';
@@ -16,9 +17,9 @@
 } from './pool_table.js';
 
 /**
- * This instance's share of a pool among `instances`. Where an endpoint allows
- * fewer requests than there are instances, only as many instances use it as it
- * allows requests.
+ * Selects this instance's share of a pool among `instances`. Where an endpoint
+ * allows fewer requests than there are instances, only as many instances use it
+ * as it allows requests.
  */
 export function selectOwnShare(
   view: PoolView,
@@ -32,17 +33,17 @@
     const users = rankByRendezvous(address, instances).slice(0, limit);
     return users.some(({name}) => name === self);
   });
-  // What an endpoint says it takes is for all instances together.
+  // The slot count that an endpoint reports is for all instances together.
   const endpoints = own.map(endpoint => ({...endpoint, slots: undefined}));
   const maxConcurrency = Math.max(1, Math.floor(limit / count));
   return {endpoints, limits: {...view.limits, maxConcurrency}};
 }
 
 /**
- * Pools of this instance alone; batch is not given slots here. They begin with
- * what the silent dispatcher had learned.
+ * Creates the pools of this instance's own share, which start with the latency
+ * that the silent dispatcher had learned. Batch items get no slots from them.
  */
-export function createLoneDispatch(
+export function createFallbackDispatch(
   clock: Clock,
   viewShare: PoolViewer,
   findLatency: (poolName: string) => LatencySnapshot | undefined,
--- a/src/instance/dispatch/fleet_dispatch.test.ts
+++ b/src/instance/dispatch/fleet_dispatch.test.ts
@@ -3,7 +3,7 @@
 import {makeEndpoint} from '../../testing/fixtures.js';
 import {
   ACQUIRE_GRACE_MS,
-  ACQUIRE_TURN_MS,
+  ACQUIRE_POLL_MS,
   DISPATCHER_COOLDOWN_MS,
   GATHER_TIMEOUT_MS,
   MAX_SILENT_DISPATCHERS,
@@ -16,12 +16,12 @@
 
 const ENTRIES = ['127.0.0.1:1', '127.0.0.1:2', '127.0.0.1:3'];
 const ENDPOINTS = [makeEndpoint('127.0.0.1:101')];
-const SILENCE_MS = ACQUIRE_TURN_MS + ACQUIRE_GRACE_MS;
+const DISPATCHER_TIMEOUT_MS = ACQUIRE_POLL_MS + ACQUIRE_GRACE_MS;
 const ANSWERED = {kind: 'answered', tokens: 1} as const;
 
 type Fleet = ReturnType<typeof createFakeFleet>;
 
-/** Slots granted at once among `count` requests spread over the fleet. */
+/** Returns the slots granted at once to `count` requests over all instances. */
 async function acquireMany(fleet: Fleet, count: number): Promise<Slot[]> {
   const dispatches = [...fleet.instances.values()];
   const granted: Slot[] = [];
@@ -46,11 +46,11 @@
   });
 
   describe('with a silent dispatcher', () => {
-    it('asks the next one, which keeps the endpoint within its limit', async () => {
-      // Callers would wait for ever. The dispatcher accepts connections and
-      // answers nothing; each instance notices after one turn and asks the next
-      // one, so that the two that are left cannot fill the endpoint past its
-      // limit, and use all of it.
+    it('uses the next dispatcher and keeps the endpoint within its limit', async () => {
+      // The dispatcher accepts connections but never responds, so callers would
+      // wait for ever. Each instance notices after one timeout and asks the next
+      // dispatcher, so that the 2 remaining instances use the whole endpoint and
+      // do not exceed its limit.
       const fleet = createFakeFleet(ENTRIES, ENDPOINTS, {hasGather: true});
       fleet.network.silent.add(fleet.owner[0]);
       const granted: Slot[] = [];
@@ -61,7 +61,7 @@
             .then(slot => granted.push(slot));
         }
       }
-      await fleet.clock.advanceAsync(SILENCE_MS - 1);
+      await fleet.clock.advanceAsync(DISPATCHER_TIMEOUT_MS - 1);
       assert.equal(granted.length, 0);
       await fleet.clock.advanceAsync(GATHER_TIMEOUT_MS + 10);
       assert.equal(granted.length, 4);
@@ -70,15 +70,17 @@
       assert.equal(granted.length, 5);
     });
 
-    it('is asked again by one request at a time', async () => {
-      // A dispatcher that is out for seconds: were every request to find out
-      // for itself whether it is back, all of them would wait for a silence,
-      // again and again.
+    it('probes the silent dispatcher with one request at a time', async () => {
+      // If every request checked by itself whether a dispatcher that is down for
+      // seconds has recovered, all of them would run into the timeout, over and
+      // over again.
       const fleet = createFakeFleet(ENTRIES, ENDPOINTS, {hasGather: true});
       fleet.network.silent.add(fleet.owner[0]);
       const [[, holder]] = fleet.others;
       const first = holder.acquireSlot(makeSlotRequest('first'));
-      await fleet.clock.advanceAsync(SILENCE_MS + GATHER_TIMEOUT_MS + 10);
+      await fleet.clock.advanceAsync(
+        DISPATCHER_TIMEOUT_MS + GATHER_TIMEOUT_MS + 10,
+      );
       (await first).release(ANSWERED);
       await fleet.clock.advanceAsync(DISPATCHER_COOLDOWN_MS);
       const granted: string[] = [];
@@ -90,15 +92,15 @@
       }
       await fleet.clock.advanceAsync(10);
       assert.deepEqual(granted, ['second', 'third']);
-      await fleet.clock.advanceAsync(SILENCE_MS + 10);
+      await fleet.clock.advanceAsync(DISPATCHER_TIMEOUT_MS + 10);
       assert.deepEqual(granted, ['second', 'third', 'probe']);
     });
   });
 
-  describe('that hears none of several dispatchers', () => {
+  describe('when all other dispatchers are silent', () => {
     const MANY = [1, 2, 3, 4].map(port => `127.0.0.1:${port}`);
 
-    /** All other instances are silent to the one that ranks last. */
+    /** Starts a fleet in which the instance that ranks last is cut off. */
     async function startCutOff() {
       for (const self of MANY) {
         const fleet = createFakeFleet(MANY, ENDPOINTS);
@@ -108,18 +110,18 @@
         const dispatch = fleet.instances.get(self)!;
         const lost = dispatch.acquireSlot(makeSlotRequest('lost'));
         const silences = MAX_SILENT_DISPATCHERS + 1;
-        await fleet.clock.advanceAsync(silences * SILENCE_MS + 1);
+        await fleet.clock.advanceAsync(silences * DISPATCHER_TIMEOUT_MS + 1);
         if (dispatch.pools.list().length > 0) continue;
         (await lost).release(ANSWERED);
         return {fleet, dispatch};
       }
-      throw new Error('no instance ranks behind the others');
+      throw new Error('no instance used fallback dispatch');
     }
 
-    it('decides alone within its share', async () => {
-      // An instance that is cut off from all others ranks first among those it
-      // still hears, itself. As dispatcher it would fill the endpoint that the
-      // others fill as well; a quarter of its four slots is one.
+    it('grants only its own share of the endpoint', async () => {
+      // An instance that is cut off from all others would rank itself first. As
+      // dispatcher it would fill the endpoint that the others fill as well. Its
+      // share is a quarter of 4 slots, that is 1.
       const {fleet, dispatch} = await startCutOff();
       const granted: Slot[] = [];
       for (const number of [1, 2, 3]) {
@@ -132,10 +134,10 @@
       assert.equal(granted.length, 1);
     });
 
-    it('gives batch no slot and says when to come back', async () => {
+    it('refuses a slot to a batch item and says when to retry', async () => {
       const {fleet, dispatch} = await startCutOff();
-      const asked = dispatch.acquireSlot(makeSlotRequest('item-1', 'batch'));
-      const refused = assert.rejects(asked, {
+      const pending = dispatch.acquireSlot(makeSlotRequest('item-1', 'batch'));
+      const refused = assert.rejects(pending, {
         code: 'overloaded',
         verdict: 'not-run',
         retryAfterMs: 1000,
@@ -145,21 +147,23 @@
     });
   });
 
-  describe('when the answer with a grant is lost', () => {
+  describe('when the response with a grant is lost', () => {
     it('frees the slot that nobody holds', async () => {
-      // Callers would see an endpoint fill up with requests that do not run.
-      // The dispatcher grants, its answer is lost, and the release that the
-      // holder sends then is lost as well; the holder's reports never name
-      // the slot, so the dispatcher frees it.
+      // Otherwise an endpoint would fill up with requests that do not run. The
+      // response with the grant is lost, and so is the release that the holder
+      // then sends. The holder's reports never contain the slot, so the
+      // dispatcher frees it.
       const fleet = createFakeFleet(ENTRIES, ENDPOINTS);
       const [owner, dispatcher] = fleet.owner;
       const [[, holder]] = fleet.others;
       fleet.network.losesAnswers.add(owner);
-      const asked = holder.acquireSlot(makeSlotRequest('item-1', 'batch'));
+      const pending = holder.acquireSlot(makeSlotRequest('item-1', 'batch'));
       await fleet.clock.advanceAsync(10);
       fleet.network.silent.add(owner);
-      await fleet.clock.advanceAsync(SILENCE_MS + GATHER_TIMEOUT_MS + 100);
-      (await asked).release(ANSWERED);
+      await fleet.clock.advanceAsync(
+        DISPATCHER_TIMEOUT_MS + GATHER_TIMEOUT_MS + 100,
+      );
+      (await pending).release(ANSWERED);
       fleet.network.silent.clear();
       fleet.network.losesAnswers.clear();
       const [{dispatcher: pool}] = dispatcher.pools.list();
@@ -173,11 +177,11 @@
     });
   });
 
-  describe('when the end of a request is not heard', () => {
-    // The dispatcher is thought to be gone for a moment, and the ends of
-    // requests are told to another one. Back in its place it counts their slots
-    // as taken: callers wait while half of the endpoints are idle, for as long
-    // as slots take to expire.
+  describe('when the dispatcher misses the end of a request', () => {
+    // The dispatcher is suspected for a moment, and the ends of requests are
+    // reported to another one. When it dispatches again, it counts their slots
+    // as taken: callers wait while half of the endpoints are idle, until the
+    // slots expire.
     it('frees the slots with the next report of their holder', async () => {
       const fleet = createFakeFleet(ENTRIES, ENDPOINTS);
       const [owner, dispatcher] = fleet.owner;
@@ -202,12 +206,13 @@
       assert.equal(pool.count().held, 0);
     });
 
-    // A dispatcher that lost the store stands down while a holder only waits for
-    // the end of its answer. The holder does not know, and tells the end to it
-    // alone; the next dispatcher, which had asked what runs, waits for it.
-    it('is heard by the next dispatcher when one stands down', async () => {
+    // A dispatcher without store access stands down while a holder's request is
+    // still running. A holder that is not notified releases its slot only at the
+    // old dispatcher, and the next one, which gathered the slot, counts it as
+    // taken.
+    it('releases the slot at the next dispatcher when one stands down', async () => {
       const fleet = createFakeFleet(ENTRIES, ENDPOINTS, {hasGather: true});
-      const [[, holder], [, witness]] = fleet.others;
+      const [[, holder], [, other]] = fleet.others;
       const held: Slot[] = [];
       void holder
         .acquireSlot(makeSlotRequest('a'))
@@ -216,39 +221,39 @@
       holder.report();
       fleet.owner[1].pools.standDown();
       fleet.owner[1].stop();
-      void witness.acquireSlot(makeSlotRequest('b'));
+      void other.acquireSlot(makeSlotRequest('b'));
       await fleet.clock.advanceAsync(1);
       held[0].release(ANSWERED);
       await fleet.clock.advanceAsync(RELEASE_INTERVAL_MS + 1);
-      const pools = [holder, witness].flatMap(each => each.pools.list());
+      const pools = [holder, other].flatMap(each => each.pools.list());
       const counts = pools.map(({dispatcher}) => dispatcher.count().held);
       assert.deepEqual(counts, [1], 'only b is held');
     });
 
-    it('tells a new dispatcher what is held, and nothing else', async () => {
+    it('reports to a new dispatcher only the slots that are held', async () => {
       const fleet = createFakeFleet(ENTRIES, ENDPOINTS);
       const [owner] = fleet.owner;
-      const [[, holder], [, witness]] = fleet.others;
+      const [[, holder], [, other]] = fleet.others;
       void holder.acquireSlot(makeSlotRequest('a'));
       await fleet.clock.advanceAsync(1);
       holder.report();
       fleet.live.delete(owner);
-      for (const dispatch of [holder, witness]) dispatch.refresh();
+      for (const dispatch of [holder, other]) dispatch.refresh();
       await fleet.clock.advanceAsync(1);
-      const pools = [holder, witness].flatMap(each => each.pools.list());
+      const pools = [holder, other].flatMap(each => each.pools.list());
       const counts = pools.map(({dispatcher}) => dispatcher.count().held);
       assert.deepEqual(counts, [1]);
     });
   });
 
   describe('when the dispatcher is lost', () => {
-    it('counts what already runs, from reports', async () => {
-      // A burst would overfill the endpoint. Four requests run when their
-      // dispatcher dies; the next one knows none of them until their holders
-      // report, and then grants nothing until one ends.
+    it('counts running requests from the reports of their holders', async () => {
+      // Otherwise a burst would exceed the endpoint's limit. 4 requests run when
+      // their dispatcher fails; the next one learns of them only from reports,
+      // and then grants nothing until one of them ends.
       const fleet = createFakeFleet(ENTRIES, ENDPOINTS);
       const [owner] = fleet.owner;
-      const [[, holder], [, witness]] = fleet.others;
+      const [[, holder], [, other]] = fleet.others;
       const held: Slot[] = [];
       for (const id of ['a', 'b', 'c', 'd']) {
         void holder
@@ -259,10 +264,10 @@
       assert.equal(held.length, 4);
       fleet.live.delete(owner);
       fleet.network.silent.add(owner);
-      for (const dispatch of [holder, witness]) dispatch.report();
+      for (const dispatch of [holder, other]) dispatch.report();
       await fleet.clock.advanceAsync(1);
       const more: Slot[] = [];
-      void witness
+      void other
         .acquireSlot(makeSlotRequest('e'))
         .then(slot => more.push(slot));
       await fleet.clock.advanceAsync(5000);
@@ -282,10 +287,11 @@
     assert.equal(granted.length, 6);
   });
 
-  it('makes batch work of another instance give way to a burst', async () => {
-    // Online callers would wait behind batch items in the engine. Batch fills
-    // the endpoint through one instance, a burst comes through another; the
-    // dispatcher tells the first, whose slots are aborted and given back.
+  it('makes batch items of another instance yield to a burst', async () => {
+    // Otherwise online requests would wait behind batch items in the engine.
+    // Batch items of one instance fill the endpoint, and a burst arrives at
+    // another. The dispatcher notifies the first one, which aborts the items and
+    // releases their slots.
     const fleet = createFakeFleet(ENTRIES, ENDPOINTS);
     const [[, worker], [, caller]] = fleet.others;
     const items: Slot[] = [];
@@ -296,7 +302,7 @@
         .catch(() => {});
     }
     await fleet.clock.advanceAsync(20_000);
-    assert.ok(items.length > 0, 'batch fills what is idle');
+    assert.ok(items.length > 0, 'batch items get idle slots');
     for (const slot of items) {
       slot.yieldSignal.addEventListener('abort', () =>
         slot.release({kind: 'yielded', tokens: 0}),
@@ -310,15 +316,15 @@
     assert.ok(items.some(slot => slot.yieldSignal.aborted));
   });
 
-  it('drops the request of a caller that is gone', async () => {
+  it('drops the request of a caller that has disconnected', async () => {
     const fleet = createFakeFleet(ENTRIES, ENDPOINTS);
     await acquireMany(fleet, 4);
     const gone = new AbortController();
-    const asked = fleet.owner[1].acquireSlot(
+    const pending = fleet.owner[1].acquireSlot(
       makeSlotRequest('late', 'online', {signal: gone.signal}),
     );
     gone.abort();
-    await assert.rejects(asked, {code: 'cancelled', verdict: 'not-run'});
+    await assert.rejects(pending, {code: 'cancelled', verdict: 'not-run'});
     const [{dispatcher: pool}] = fleet.owner[1].pools.list();
     assert.deepEqual(pool.count(), {waiting: 0, held: 4});
   });
--- a/src/instance/dispatch/fleet_dispatch.ts
+++ b/src/instance/dispatch/fleet_dispatch.ts
@@ -1,9 +1,11 @@
 /**
- * Dispatch over the fleet: finds the pool's dispatcher, asks it for a slot, and
- * decides alone with this instance's share when it is silent.
+ * Dispatch across the fleet. It finds the pool's dispatcher and asks it for a
+ * slot; when too many dispatchers are silent, it falls back to this instance's
+ * own share of the pool.
  *
- * Two dispatchers for a moment, or none, cost quality and never a promise:
- * slots bound how full endpoints are, not whether a request may run twice.
+ * A pool may briefly have two dispatchers or none. That lowers quality but
+ * breaks no guarantee, because slots bound the load of endpoints and do not
+ * decide whether a request may run twice.
  */
 import type {Clock} from '../../common/clock.js';
 import {RouterError} from '../../common/errors.js';
@@ -16,7 +18,7 @@
 import {receiveReport} from './dispatch_router.js';
 import type {PoolDescription} from './dispatch_schemas.js';
 import {createHeldSlots} from './held_slots.js';
-import {createLoneDispatch, selectOwnShare} from './lone_dispatch.js';
+import {createFallbackDispatch, selectOwnShare} from './fallback_dispatch.js';
 import {createPoolDirectory, type PoolDirectory} from './pool_directory.js';
 import type {GatheredPool} from './pool_dispatcher.js';
 import {createPoolTable, type PoolTable} from './pool_table.js';
@@ -28,7 +30,7 @@
 import {buildRefusalError} from './slot_refusal.js';
 import {createSlotReporter, encodeSlot} from './slot_reports.js';
 
-/** What dispatch works with. */
+/** Dependencies of dispatch. */
 export interface FleetDispatchDependencies {
   clock: Clock;
   members: Members;
@@ -36,33 +38,35 @@
   peers: DispatchPeers;
   log: Log;
   metrics: Metrics;
-  /** Whether this instance no longer hears which endpoints come and go. */
+  /** Whether this instance is without store access, so that its list is old. */
   isBlind?: () => boolean;
 }
 
-/** Dispatch with what its peers and its periodic work need. */
+/** Dispatch, with the operations for peers and periodic tasks. */
 export interface FleetDispatch extends Dispatch, StateSource {
   pools: PoolTable;
   yieldSlot(requestId: string): void;
-  /** A dispatcher stops or stands down. */
+  /** Records that a dispatcher stops or stands down. */
   noteMoved(dispatcher: string): void;
-  /** What this instance tells the new dispatcher of a pool. */
+  /** Describes a pool to its new dispatcher. */
   describePool(poolName: string): PoolDescription;
-  /** Once a second: endpoints, limits, holders that are gone. */
+  /**
+   * Updates endpoints and limits and removes holders that have left. Runs once
+   * a second.
+   */
   refresh(): void;
-  /** Tells each dispatcher which of its slots this instance holds. */
+  /** Reports to each dispatcher which of its slots this instance holds. */
   report(): void;
-  /** Services of which this instance dispatches for a pool. */
+  /** Lists services that have a pool for which this instance dispatches. */
   listOwnServices(): string[];
-  /** An endpoint of a pool as it is listed here. */
+  /** Finds this instance's list entry of an endpoint of a pool. */
   findEndpoint: PoolDirectory['findEndpoint'];
-  /** Endpoints of a pool. */
   listEndpointsOf(service: string, poolName: string): ListedInstance[];
-  /** Hands over: waiting requests are sent to the next dispatcher. */
+  /** Stops dispatching; waiting requests are told to ask the next dispatcher. */
   stop(): void;
 }
 
-/** Dispatches for the pools that rank this instance first. */
+/** Creates dispatch, which serves the pools that rank this instance first. */
 export function createFleetDispatch({
   clock,
   members,
@@ -70,7 +74,7 @@
   peers,
   log,
   metrics,
-  isBlind = () => false,
+  isBlind: isWithoutStoreAccess = () => false,
 }: FleetDispatchDependencies): FleetDispatch {
   const {self} = members;
   const held = createHeldSlots();
@@ -78,8 +82,8 @@
   let stopped = false;
   const directory = createPoolDirectory(members, services, address =>
     address === self.address
-      ? stopped || isBlind()
-      : remote.isPassedOver(address, clock.now()),
+      ? stopped || isWithoutStoreAccess()
+      : remote.isSkipped(address, clock.now()),
   );
   const grants = metrics.createCounter(
     'dispatch_slots_granted_total',
@@ -102,27 +106,28 @@
     }
   }
 
-  /** Reports wherever a pool has another dispatcher than it had. */
-  function reportMoved() {
+  /** Sends reports at once when the dispatcher of a reported pool has changed. */
+  function reportMovedPools() {
     const moved = reporter.listMoved();
     if (moved.length === 0) return;
-    for (const each of moved) log.info(each, 'a pool has another dispatcher');
+    for (const movedPool of moved)
+      log.info(movedPool, 'dispatcher of pool changed');
     sendReports();
   }
 
   function noteMoved(dispatcher: string) {
     remote.noteLeaving(dispatcher, clock.now());
-    reportMoved();
+    reportMovedPools();
   }
 
   function sendMovedNotices(holders: ReadonlySet<string>) {
     for (const holder of holders) {
       if (holder !== self.address) remote.sendMoved(holder);
     }
-    reportMoved();
+    reportMovedPools();
   }
 
-  /** Asked once for each takeover, so it may go to every live instance. */
+  /** Asks every live instance, which is affordable once per takeover. */
   async function gatherPool(poolName: string): Promise<GatheredPool> {
     const others = members
       .listLive()
@@ -145,9 +150,9 @@
       if (holder === self.address) requestIds.forEach(held.yieldSlot);
       else remote.yieldSlots(holder, requestIds);
     },
-    {isBlind, gather: gatherPool, notifyMoved: sendMovedNotices},
+    {isWithoutStoreAccess, gather: gatherPool, notifyMoved: sendMovedNotices},
   );
-  const lone = createLoneDispatch(
+  const fallbackPools = createFallbackDispatch(
     clock,
     (service, poolName) => {
       const view = directory.viewPool(service, poolName);
@@ -163,10 +168,10 @@
     directory,
     remote,
     pools,
-    lone,
+    fallbackPools,
     grants,
-    isBlind,
-    onMoved: reportMoved,
+    isWithoutStoreAccess,
+    onMoved: reportMovedPools,
   });
 
   return {
@@ -190,10 +195,10 @@
     },
     refresh() {
       directory.refresh();
-      if (isBlind()) pools.standDown();
+      if (isWithoutStoreAccess()) pools.standDown();
       pools.refresh();
-      lone.refresh();
-      reportMoved();
+      fallbackPools.refresh();
+      reportMovedPools();
       const live = new Set(members.listLive().map(({address}) => address));
       live.add(self.address);
       for (const {dispatcher} of pools.list()) {
@@ -206,7 +211,7 @@
     stop() {
       stopped = true;
       pools.stop();
-      lone.stop();
+      fallbackPools.stop();
     },
     describePool(poolName) {
       const now = clock.now();
--- a/src/instance/dispatch/held_slots.ts
+++ b/src/instance/dispatch/held_slots.ts
@@ -1,4 +1,4 @@
-/** The slots that this instance holds, and the signals that end them. */
+/** The slots that this instance holds, and the signals that make them yield. */
 import type {
   ScheduledRequest,
   SchedulerOutcome,
@@ -10,21 +10,21 @@
   pool: string;
   endpoint: string;
   request: ScheduledRequest;
-  /** Tells whoever granted it that it is free. */
-  giveBack: (outcome: SchedulerOutcome) => void;
+  /** Notifies the dispatcher that granted the slot that it is free. */
+  releaseAtDispatcher: (outcome: SchedulerOutcome) => void;
 }
 
 /** Slots by request id. */
 export interface HeldSlots {
-  /** Returns the signal that tells the slot's user to make way. */
+  /** Returns the signal that tells the slot's user to yield. */
   add(slot: HeldSlot): AbortSignal;
-  /** Gives the slot back; harmless when it was given back before. */
+  /** Releases the slot; has no effect when it was released before. */
   release(requestId: string, outcome: SchedulerOutcome): void;
   yieldSlot(requestId: string): void;
   list(): HeldSlot[];
 }
 
-/** Starts without slots. */
+/** Creates an empty set of slots. */
 export function createHeldSlots(): HeldSlots {
   const slots = new Map<string, {slot: HeldSlot; yielding: AbortController}>();
 
@@ -38,7 +38,7 @@
       const entry = slots.get(requestId);
       if (!entry) return;
       slots.delete(requestId);
-      entry.slot.giveBack(outcome);
+      entry.slot.releaseAtDispatcher(outcome);
     },
     yieldSlot(requestId) {
       slots.get(requestId)?.yielding.abort();
--- a/src/instance/dispatch/pool_directory.ts
+++ b/src/instance/dispatch/pool_directory.ts
@@ -1,4 +1,4 @@
-/** Which pools there are now, and which instance dispatches for each. */
+/** The current pools, and the instance that dispatches for each of them. */
 import {
   chooseByRendezvous,
   selectSettled,
@@ -9,38 +9,39 @@
 import type {PoolView} from './pool_table.js';
 import {buildPools, rankPools, type Pool} from './pools.js';
 
-/** Pools and dispatchers by this instance's view. */
+/** Pools and dispatchers according to this instance's view. */
 export interface PoolDirectory {
-  /** Forgets the pools built from an older list of endpoints. */
+  /** Discards the pools that were built from an older list of endpoints. */
   refresh(): void;
   listPools(service: string): Pool[];
   findPool(service: string, poolName: string): Pool | undefined;
-  /** An endpoint of a pool as it is listed now. */
+  /** Finds the current list entry of an endpoint of a pool. */
   findEndpoint(
     service: string,
     poolName: string,
     address: string,
   ): ListedInstance | undefined;
-  /** Peer address of the instance that dispatches for a pool. */
+  /** Returns the peer address of the instance that dispatches for a pool. */
   findDispatcher(pool: Pool): string;
-  /** The same by name; undefined when the pool is gone. */
+  /** As `findDispatcher`, by name; undefined when the pool no longer exists. */
   findDispatcherOf(service: string, poolName: string): string | undefined;
   isOwn(pool: Pool): boolean;
   viewPool(service: string, poolName: string): PoolView;
-  /** The pools a request tries, best first. */
+  /** Lists the pools that a request tries, best first. */
   rankFor(request: SlotRequest): Pool[];
-  /** Services of which this instance dispatches for a pool. */
+  /** Lists services that have a pool for which this instance dispatches. */
   listOwnServices(): string[];
 }
 
 /**
- * Follows `members` and `services`. `isPassedOver` knows of dispatchers that
- * said that they stop, or gave no answer, before the list does.
+ * Creates a directory of the pools of `services` over `members`. `isSkipped`
+ * tells of dispatchers that announced their stop or did not respond, before the
+ * member list shows it.
  */
 export function createPoolDirectory(
   members: Members,
   services: ServiceCatalog,
-  isPassedOver: (address: string) => boolean,
+  isSkipped: (address: string) => boolean,
 ): PoolDirectory {
   const poolsByService = new Map<string, Pool[]>();
 
@@ -56,11 +57,9 @@
     return listPools(service).find(({name}) => name === poolName);
   }
 
-  /** In the pool's region while it has instances: a slot costs a round trip. */
+  /** Prefers the pool's region, because each slot costs a round trip. */
   function findDispatcher(pool: Pool): string {
-    const live = members
-      .listLive()
-      .filter(({address}) => !isPassedOver(address));
+    const live = members.listLive().filter(({address}) => !isSkipped(address));
     const near = live.filter(member => member.region === pool.region);
     const candidates = near.length > 0 ? near : live;
     const first = chooseByRendezvous(pool.name, selectSettled(candidates));
--- a/src/instance/dispatch/pool_dispatcher.ts
+++ b/src/instance/dispatch/pool_dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * The dispatcher's side of one pool: ties its scheduler to the holders that
- * wait for slots and to those that have them.
+ * The dispatcher's side of one pool. It connects the pool's scheduler to the
+ * holders that wait for slots and to those that have slots.
  */
 import type {Clock} from '../../common/clock.js';
 import type {LatencySnapshot} from '../../decisions/latency_model.js';
@@ -22,16 +22,16 @@
   UNREPORTED_SLOT_MS,
 } from './constants.js';
 
-/** The final answer to a request for a slot. */
+/** The final response to a request for a slot. */
 export type SlotAnswer =
   | {
       kind: 'granted';
       endpoint: string;
-      /** As the dispatcher has it listed, when it is another instance. */
+      /** The dispatcher's list entry, when the dispatcher is another instance. */
       listed?: ListedInstance;
     }
   | {kind: 'refused'; reason: RefusalReason; retryAfterMs: number}
-  /** This dispatcher stops: ask the one that ranks first now. */
+  /** This dispatcher stops; the holder asks the one that ranks first now. */
   | {kind: 'moved'};
 
 /** A slot as its holder reports it. */
@@ -40,51 +40,53 @@
   endpoint: string;
 }
 
-/** What peers know of a pool when its dispatcher is new. */
+/** What the peers told a new dispatcher about its pool. */
 export interface GatheredPool {
   slots: readonly {holder: string; slots: readonly ReportedSlot[]}[];
   latency?: LatencySnapshot;
 }
 
-/** Tells a holder that batch items must make way. */
+/** Notifies a holder that batch items must yield their slots. */
 export type YieldNotifier = (holder: string, requestIds: string[]) => void;
 
 /** One pool as its dispatcher runs it. `holder` is a holder's peer address. */
 export interface PoolDispatcher {
-  /** Resolves when decided; asking again gives the same answer. */
+  /** Resolves with the decision; a repeated call gets the same one. */
   submit(request: ScheduledRequest, holder: string): Promise<SlotAnswer>;
-  /** A waiting request is dropped, a granted one released. */
+  /** Drops a waiting request, or releases the slot of a granted one. */
   release(requestId: string, outcome: SchedulerOutcome): void;
   /**
-   * Takes in all slots of this pool that `holder` holds: those granted by
-   * another dispatcher are adopted, those it no longer holds are free.
+   * Applies a complete list of the slots that `holder` holds in this pool.
+   * Slots granted by another dispatcher are adopted, and slots that the holder
+   * no longer holds are freed.
    */
   receiveReport(holder: string, slots: readonly ReportedSlot[]): void;
-  /** Frees slots that nobody reports: their grant was lost on the way. */
+  /** Frees slots that no holder reports, because the grant was lost. */
   expireSlots(): void;
-  /** The holder is gone for good: nothing of it waits or runs. */
+  /** Drops all requests and slots of a holder that has left the fleet. */
   removeHolder(holder: string): void;
-  /** Holders that wait or have slots. */
+  /** Holders with waiting requests or slots. */
   listHolders(): Set<string>;
   /**
-   * Decides nothing until `gathered` resolves: a dispatcher that has just taken
-   * over would grant what is taken. What was gathered is adopted then.
+   * Delays new requests until `gathered` resolves, and then adopts its slots.
+   * Otherwise a dispatcher that has just taken over would grant slots that are
+   * already in use.
    */
-  holdUntil(gathered: Promise<GatheredPool>): void;
-  /** What was learned of the pool's latency. */
+  delayUntil(gathered: Promise<GatheredPool>): void;
+  /** The latency learned for the pool so far. */
   exportLatency(): LatencySnapshot | undefined;
   refresh(endpoints: readonly EndpointDescription[], limits: PoolLimits): void;
-  /** Requests that wait here and those that have slots. */
+  /** Numbers of waiting requests and of held slots. */
   count(): {waiting: number; held: number};
-  /** An endpoint's own report of its load; it lags. */
+  /** Takes an endpoint's own load report, which lags behind. */
   noteLoad(endpoint: string, report: LoadReport): void;
-  /** An endpoint's cache changed; late and with gaps. */
+  /** Takes a cache change of an endpoint; events arrive late and with gaps. */
   noteCacheEvent(endpoint: string, event: CacheEvent): void;
-  /** The first byte of a granted request came. */
+  /** Records that the first byte of a granted request arrived. */
   noteFirstByte(requestId: string, firstByteMs: number): void;
-  /** Counts and the scheduler's own state, for dumps. */
+  /** Counts and scheduler state, for state dumps. */
   describe(): object;
-  /** When it was last asked for anything. */
+  /** Time at which a holder last requested or reported slots. */
   usedAt(): number;
   isIdle(): boolean;
   stop(): void;
@@ -108,7 +110,7 @@
   ) => void;
 };
 
-/** `notifyYield` sends to a holder; it must not throw. */
+/** Creates a dispatcher without requests. `notifyYield` must not throw. */
 export function createPoolDispatcher(
   clock: Clock,
   scheduler: PoolScheduler,
@@ -152,7 +154,7 @@
     scheduleDecision();
   }
 
-  /** Time alone can refuse a request or end a probe, so waiting needs a timer. */
+  /** Schedules the next decision: a request can expire without any event. */
   function scheduleDecision() {
     if (cancelTimer || (waiting.size === 0 && held.size === 0)) return;
     cancelTimer = clock.schedule(DECIDE_INTERVAL_MS, () => {
@@ -226,7 +228,7 @@
       scheduler.noteCacheEvent(endpoint, event, clock.now()),
     describe: () => ({...count(), scheduler: scheduler.describe(clock.now())}),
     submit,
-    holdUntil(gathered) {
+    delayUntil(gathered) {
       gathering = gathered.then(({slots, latency}) => {
         if (latency) scheduler.importLatency(latency);
         for (const {holder, slots: held} of slots) adoptSlots(holder, held);
--- a/src/instance/dispatch/pool_table.ts
+++ b/src/instance/dispatch/pool_table.ts
@@ -1,4 +1,4 @@
-/** The pools that this instance dispatches for, opened when first asked for. */
+/** The pools that this instance dispatches for, opened on first use. */
 import type {Clock} from '../../common/clock.js';
 import {createPoolScheduler} from '../../decisions/pool_scheduler.js';
 import type {
@@ -13,7 +13,7 @@
   type YieldNotifier,
 } from './pool_dispatcher.js';
 
-/** What a pool is made of now. */
+/** The current endpoints and limits of a pool. */
 export interface PoolView {
   endpoints: EndpointDescription[];
   limits: PoolLimits;
@@ -34,32 +34,39 @@
   open(service: string, poolName: string): PoolDispatcher;
   find(poolName: string): PoolDispatcher | undefined;
   list(): OpenPool[];
-  /** Whether other instances must ask the next dispatcher. */
+  /** Whether other instances must use the next dispatcher. */
   isStopped(): boolean;
-  /** Brings endpoints and limits up to date, forgets idle pools. */
+  /** Updates endpoints and limits, and removes idle pools. */
   refresh(): void;
-  /** Sends waiting requests away and forgets what runs, for a time. */
+  /**
+   * Closes all pools, which may be opened again later. Waiting requests are
+   * told to ask the next dispatcher, and running requests are no longer tracked.
+   */
   standDown(): void;
-  /** The same for good; own requests may still open pools. */
+  /** Stands down for good; only requests of this instance still open pools. */
   stop(): void;
 }
 
-/** What a table of pools asks of its surroundings; all have defaults. */
+/** Options of a pool table. */
 export interface PoolTableOptions {
-  /** Whether others decide better at present. */
-  isBlind?: () => boolean;
-  /** Asks the other instances what they know of a pool; never rejects. */
+  /** Whether this instance is without store access and must not dispatch. */
+  isWithoutStoreAccess?: () => boolean;
+  /** Asks the other instances to describe a pool; never rejects. */
   gather?: (poolName: string) => Promise<GatheredPool>;
-  /** Tells holders that another instance dispatches from now on. */
+  /** Notifies holders that another instance dispatches from now on. */
   notifyMoved?: (holders: ReadonlySet<string>) => void;
 }
 
-/** Starts without pools. */
+/** Creates a table without pools. */
 export function createPoolTable(
   clock: Clock,
   viewPool: PoolViewer,
   notifyYield: YieldNotifier,
-  {isBlind = () => false, gather, notifyMoved}: PoolTableOptions = {},
+  {
+    isWithoutStoreAccess = () => false,
+    gather,
+    notifyMoved,
+  }: PoolTableOptions = {},
 ): PoolTable {
   const open = new Map<string, OpenPool>();
   let stopped = false;
@@ -74,14 +81,15 @@
       notifyYield,
     );
     dispatcher.refresh(view.endpoints, view.limits);
-    if (gather) dispatcher.holdUntil(gather(poolName));
+    if (gather) dispatcher.delayUntil(gather(poolName));
     open.set(poolName, {name: poolName, service, dispatcher});
     return dispatcher;
   }
 
   /**
-   * Holders that are not told go on to report here: the next dispatcher would
-   * count the slots of what has ended meanwhile as taken.
+   * Notifies the holders, because otherwise they would keep reporting to this
+   * instance, and the next dispatcher would count the slots of requests that
+   * have ended in the meantime as taken.
    */
   function standDown() {
     const holders = new Set<string>();
@@ -97,7 +105,7 @@
     open: openPool,
     find: poolName => open.get(poolName)?.dispatcher,
     list: () => [...open.values()],
-    isStopped: () => stopped || isBlind(),
+    isStopped: () => stopped || isWithoutStoreAccess(),
     refresh() {
       const idleBefore = clock.now() - IDLE_POOL_MS;
       for (const [key, {service, dispatcher}] of open) {
--- a/src/instance/dispatch/pools.ts
+++ b/src/instance/dispatch/pools.ts
@@ -1,6 +1,6 @@
 /**
- * Pools: the endpoints of one service in one region, split so that none has
- * more than a dispatcher can see at once.
+ * Pools: the endpoints of one service in one region, split so that each pool is
+ * small enough for one dispatcher.
  */
 import {groupBy} from '../../common/collections.js';
 import {
@@ -19,7 +19,7 @@
   endpoints: ListedInstance[];
 }
 
-/** The pools of a service, from its endpoints that take new work. */
+/** Builds the pools of a service from its endpoints that accept new work. */
 export function buildPools(
   service: string,
   endpoints: readonly ListedInstance[],
@@ -40,10 +40,10 @@
   return [...pools.values()];
 }
 
-/** What decides in which order a request tries pools. */
+/** Criteria for the order in which a request tries pools. */
 export interface PoolPreference {
   workClass: WorkClass;
-  /** Region of the instance that asks. */
+  /** Region of the instance that requests the slot. */
   region: string;
   /** Requests with the same key prefer the same part of a region. */
   affinityKey: string;
@@ -52,9 +52,10 @@
 }
 
 /**
- * Pools in the order in which a request tries them. Batch stays on pools that
- * this instance dispatches for, so that making way needs no message; online
- * stays in its region, and within it goes where its prefix may be cached.
+ * Sorts pools into the order in which a request tries them. Batch items prefer
+ * pools that this instance dispatches for, where they can yield without a
+ * message. Online requests prefer their own region, and within it the pool that
+ * may have their prefix cached.
  */
 export function rankPools(
   pools: readonly Pool[],
--- a/src/instance/dispatch/remote_dispatcher.ts
+++ b/src/instance/dispatch/remote_dispatcher.ts
@@ -1,4 +1,4 @@
-/** Asking the dispatcher of a pool on another instance. */
+/** Client for the dispatchers of pools on other instances. */
 import type {Clock} from '../../common/clock.js';
 import {waitFor} from '../../common/clock.js';
 import type {
@@ -8,10 +8,10 @@
 import type {PeerClient} from '../peers/peer_client.js';
 import {
   ACQUIRE_GRACE_MS,
-  ACQUIRE_TURN_MS,
+  ACQUIRE_POLL_MS,
   DISPATCHER_COOLDOWN_MS,
   GATHER_TIMEOUT_MS,
-  LEAVING_MEMORY_MS,
+  LEAVING_SKIP_MS,
   MAX_SILENT_DISPATCHERS,
   RELEASE_INTERVAL_MS,
 } from './constants.js';
@@ -21,15 +21,15 @@
 import type {LatencySnapshot} from '../../decisions/latency_model.js';
 import type {GatheredPool, SlotAnswer} from './pool_dispatcher.js';
 
-/** Raised when a dispatcher gives no answer: decide without it. */
+/** Thrown when a dispatcher does not respond; the caller proceeds without it. */
 export class DispatcherSilentError extends Error {
   constructor(address: string, cause?: unknown) {
-    super(`dispatcher ${address} is silent`, {cause});
+    super(`dispatcher ${address} did not respond`, {cause});
     this.name = 'DispatcherSilentError';
   }
 }
 
-/** What identifies a waiting request to its dispatcher. */
+/** A request for a slot of one pool. */
 export interface RemoteRequest {
   service: string;
   pool: string;
@@ -42,18 +42,18 @@
   get(address: string): Pick<PeerClient, 'dispatch'>;
 }
 
-/** The dispatchers on other instances. */
+/** Calls to the dispatchers on other instances. */
 export interface RemoteDispatchers {
   /** Throws DispatcherSilentError. */
   acquire(address: string, request: RemoteRequest): Promise<SlotAnswer>;
-  /** Sent soon, together with others; lost ones are found by reports. */
+  /** Sends soon, together with other releases; reports make up for lost ones. */
   release(
     address: string,
     pool: string,
     requestId: string,
     outcome: SchedulerOutcome,
   ): void;
-  /** Sent with the releases. */
+  /** Sends the time of a first byte together with the releases. */
   noteFirstByte(
     address: string,
     pool: string,
@@ -61,28 +61,28 @@
     firstByteMs: number,
   ): void;
   report(address: string, report: SlotReport): void;
-  /** What an instance knows of a pool; undefined when it does not say. */
+  /** Asks an instance to describe a pool; undefined when the call fails. */
   gather(
     address: string,
     pool: string,
   ): Promise<(GatheredPool['slots'][number] & GatheredLatency) | undefined>;
-  /** What dispatchers of a pool had learned when they last granted a slot. */
+  /** The latency that a pool's dispatcher sent with the last granted slot. */
   findLatency(pool: string): LatencySnapshot | undefined;
   yieldSlots(address: string, requestIds: string[]): void;
-  /** Tells a holder that this instance does not dispatch any more. */
+  /** Notifies a holder that this instance no longer dispatches. */
   sendMoved(address: string): void;
-  /** A dispatcher said so. */
+  /** Records that a dispatcher announced that it stops or stands down. */
   noteLeaving(address: string, now: number): void;
-  /** Whether it fell silent, or said that it stops, a moment ago. */
-  isPassedOver(address: string, now: number): boolean;
-  /** Whether so many are silent that this instance is probably cut off. */
+  /** Whether a dispatcher recently did not respond or announced its stop. */
+  isSkipped(address: string, now: number): boolean;
+  /** Whether so many dispatchers are silent that this instance is likely cut off. */
   isCutOff(now: number): boolean;
 }
 
-/** Told with the slots. */
+/** Latency that an instance sends along with its slots. */
 type GatheredLatency = Pick<GatheredPool, 'latency'>;
 
-/** `getSelfAddress` is where dispatchers reach this instance. */
+/** `getSelfAddress` returns the peer address of this instance. */
 export function createRemoteDispatchers(
   clock: Clock,
   peers: DispatchPeers,
@@ -97,7 +97,7 @@
     address: string,
     remote: RemoteRequest,
   ): Promise<AcquireAnswer> {
-    const timeout = waitFor(clock, SILENCE_MS);
+    const timeout = waitFor(clock, DISPATCHER_TIMEOUT_MS);
     const answer = peers.get(address).dispatch.acquire.mutate({
       service: remote.service,
       pool: remote.pool,
@@ -132,12 +132,13 @@
     outcome: SchedulerOutcome,
   ) {
     openBatch(address).releases.push({pool, requestId, outcome});
-    // A question waits for the slot of an item that made way: collecting costs
-    // a burst's slowest first tokens 5% (play 'burst', 8 seeds).
+    // An online request waits for the slot of an item that yielded. Collecting
+    // these releases too makes the slowest first tokens of a burst 5% later
+    // (simulation 'burst', 8 seeds).
     if (outcome.kind === 'yielded') sendReleases(address);
   }
 
-  /** What is collected for a dispatcher; sent after RELEASE_INTERVAL_MS. */
+  /** Returns the batch for a dispatcher, which is sent after RELEASE_INTERVAL_MS. */
   function openBatch(address: string): Required<ReleaseInput> {
     const held = releases.get(address);
     if (held) return held;
@@ -152,7 +153,7 @@
   }
 
   function noteLeaving(address: string, now: number) {
-    leavingUntil.set(address, now + LEAVING_MEMORY_MS);
+    leavingUntil.set(address, now + LEAVING_SKIP_MS);
   }
 
   return {
@@ -167,9 +168,10 @@
     },
     async acquire(address, remote) {
       const {pool, request, signal} = remote;
-      // After its silence one request alone finds out whether it is back.
+      // After a silent period only one request at a time probes whether the
+      // dispatcher has recovered.
       if (silentUntil.has(address)) {
-        silentUntil.set(address, clock.now() + SILENCE_MS);
+        silentUntil.set(address, clock.now() + DISPATCHER_TIMEOUT_MS);
       }
       for (;;) {
         try {
@@ -181,8 +183,8 @@
           }
           if (answer.kind !== 'waiting') return answer;
         } catch (error) {
-          // The grant may be on its way: without this the slot would count
-          // as in use until the next reports show that nobody holds it.
+          // The grant may be in transit. Without this release the slot would
+          // count as in use until the next reports show that nobody holds it.
           release(address, pool, request.id, CANCELLED);
           throw error;
         }
@@ -214,7 +216,7 @@
         }));
         return {holder: address, slots: reported, latency};
       } catch {
-        // Its slots are learned from its next report.
+        // The next report of the instance makes up for the failed call.
         return undefined;
       }
     },
@@ -222,7 +224,7 @@
     yieldSlots(address, requestIds) {
       forgetFailure(peers.get(address).dispatch.yield.mutate({requestIds}));
     },
-    isPassedOver: (address, now) =>
+    isSkipped: (address, now) =>
       isSilent(address, now) || (leavingUntil.get(address) ?? 0) > now,
     isCutOff: now =>
       [...silentUntil.keys()].filter(address => isSilent(address, now)).length >
@@ -230,12 +232,12 @@
   };
 }
 
-/** Without an answer to a turn for so long a dispatcher is silent, in ms. */
-const SILENCE_MS = ACQUIRE_TURN_MS + ACQUIRE_GRACE_MS;
+/** Time without a response after which a dispatcher counts as silent. */
+const DISPATCHER_TIMEOUT_MS = ACQUIRE_POLL_MS + ACQUIRE_GRACE_MS;
 
 const CANCELLED: SchedulerOutcome = {kind: 'cancelled', tokens: 0};
 
-/** What these messages say is said again by the next report. */
+/** Ignores failures of messages whose content the next report repeats. */
 function forgetFailure(call: Promise<unknown>) {
   call.catch(() => {});
 }
--- a/src/instance/dispatch/slot_acquirer.ts
+++ b/src/instance/dispatch/slot_acquirer.ts
@@ -1,6 +1,7 @@
 /**
- * The way of one request to a slot: its pools in turn, of each the dispatcher
- * that ranks first, and without one this instance's own share.
+ * Acquires a slot for one request. It tries the request's pools in turn, asks
+ * for each pool the dispatcher that ranks first, and falls back to this
+ * instance's own share of the pool when too many dispatchers are silent.
  */
 import type {Counter} from 'prom-client';
 import type {Clock} from '../../common/clock.js';
@@ -20,7 +21,7 @@
 } from './remote_dispatcher.js';
 import {NO_DISPATCHER, NO_ENDPOINT, type SlotRefusal} from './slot_refusal.js';
 
-/** What the way leads through. */
+/** Dependencies of the acquirer. */
 export interface SlotAcquirerDependencies {
   clock: Clock;
   self: SelfDescription;
@@ -29,22 +30,22 @@
   remote: RemoteDispatchers;
   /** Pools that this instance dispatches for. */
   pools: PoolTable;
-  /** Its share of pools whose dispatcher is silent. */
-  lone: PoolTable;
+  /** This instance's share of each pool, used when dispatchers are silent. */
+  fallbackPools: PoolTable;
   /** Counts slots by class and way. */
   grants: Counter;
-  /** Whether this instance no longer hears which endpoints come and go. */
-  isBlind: () => boolean;
-  /** Told when a dispatcher sent a request to the next one. */
+  /** Whether this instance is without store access, so that its list is old. */
+  isWithoutStoreAccess: () => boolean;
+  /** Called when a request has to ask again, usually another dispatcher. */
   onMoved: () => void;
 }
 
-/** Finds slots. */
+/** Acquires slots for the requests of this instance. */
 export interface SlotAcquirer {
   acquire(request: SlotRequest): Promise<Slot | SlotRefusal>;
 }
 
-/** One request on its way to a slot of one pool. */
+/** One attempt of a request to get a slot of one pool. */
 interface Attempt {
   request: SlotRequest;
   scheduled: ScheduledRequest;
@@ -52,23 +53,23 @@
   service: string;
 }
 
-/** A granted slot before it is handed out. */
+/** A granted slot before it is passed to the caller. */
 interface Grant {
   endpoint: string;
-  /** As its dispatcher has it listed. */
+  /** The dispatcher's list entry of the endpoint. */
   listed?: ListedInstance;
-  /** Peer address of the dispatcher; undefined when decided alone. */
+  /** Peer address of the dispatcher; undefined for fallback dispatch. */
   dispatcher?: string;
   way: SlotWay;
-  giveBack: (outcome: SlotOutcome) => void;
-  /** Tells the dispatcher; absent when there is none. */
+  releaseAtDispatcher: (outcome: SlotOutcome) => void;
+  /** Notifies the dispatcher of the first byte. */
   noteFirstByte?: (firstByteMs: number) => void;
 }
 
 type AttemptResult =
   {kind: 'slot'; slot: Slot} | Exclude<SlotAnswer, {kind: 'granted'}>;
 
-/** Follows the directory from one request to the next. */
+/** Creates an acquirer that looks up pools and dispatchers in the directory. */
 export function createSlotAcquirer({
   clock,
   self,
@@ -76,16 +77,17 @@
   directory,
   remote,
   pools,
-  lone,
+  fallbackPools,
   grants,
-  isBlind,
+  isWithoutStoreAccess,
   onMoved,
 }: SlotAcquirerDependencies): SlotAcquirer {
   /**
-   * The dispatcher may have changed while the request ran; the new one counts
-   * the slot from a report and must hear of its end as well.
+   * Releases the slot at the current dispatcher, if that is not the one that
+   * granted it. The dispatcher may have changed while the request ran, and the
+   * new one has adopted the slot from a report.
    */
-  function releaseAtCurrent(
+  function releaseAtCurrentDispatcher(
     {service, pool, scheduled}: Attempt,
     {dispatcher}: Grant,
     outcome: SlotOutcome,
@@ -97,19 +99,21 @@
     } else remote.release(current, pool.name, scheduled.id, outcome);
   }
 
-  /** Checks once more that somebody still wants the slot. */
+  /** Turns a grant into a slot, if the caller and the endpoint still exist. */
   function openSlot(attempt: Attempt, grant: Grant): AttemptResult {
     const {request, scheduled, pool, service} = attempt;
-    // As listed now: the request may have waited for longer than an endpoint
-    // that has left may still be given work.
-    const own = directory.findEndpoint(service, pool.name, grant.endpoint);
-    // An instance that hears no news of endpoints believes its dispatcher.
-    const endpoint = own ?? (isBlind() ? grant.listed : undefined);
+    // The current list decides: while the request waited, its endpoint may have
+    // left and the period in which it may still get work may have ended.
+    const ownEntry = directory.findEndpoint(service, pool.name, grant.endpoint);
+    // Without store access this instance relies on the dispatcher's list.
+    const endpoint =
+      ownEntry ?? (isWithoutStoreAccess() ? grant.listed : undefined);
     if (!endpoint || request.signal.aborted) {
-      grant.giveBack({kind: 'cancelled', tokens: 0});
+      grant.releaseAtDispatcher({kind: 'cancelled', tokens: 0});
       if (endpoint) return NO_ENDPOINT;
-      // The endpoint has just left, or this instance has not heard of it yet;
-      // its dispatcher may not know that for long, and must choose another.
+      // The endpoint has just left, or this instance has not learned of it yet.
+      // The dispatcher may take some time to notice, so it must be told to
+      // choose another endpoint.
       scheduled.avoid = [...scheduled.avoid, grant.endpoint];
       return {kind: 'moved'};
     }
@@ -118,9 +122,9 @@
       pool: pool.name,
       endpoint: grant.endpoint,
       request: scheduled,
-      giveBack(outcome) {
-        grant.giveBack(outcome);
-        releaseAtCurrent(attempt, grant, outcome);
+      releaseAtDispatcher(outcome) {
+        grant.releaseAtDispatcher(outcome);
+        releaseAtCurrentDispatcher(attempt, grant, outcome);
       },
     });
     grants.inc({class: request.workClass, way: grant.way});
@@ -150,7 +154,7 @@
       endpoint: answer.endpoint,
       dispatcher: way === 'own' ? self.address : undefined,
       way,
-      giveBack: outcome => dispatcher.release(scheduled.id, outcome),
+      releaseAtDispatcher: outcome => dispatcher.release(scheduled.id, outcome),
       noteFirstByte: firstByteMs =>
         dispatcher.noteFirstByte(scheduled.id, firstByteMs),
     });
@@ -173,7 +177,7 @@
       listed: answer.listed,
       dispatcher: address,
       way: 'remote',
-      giveBack: outcome =>
+      releaseAtDispatcher: outcome =>
         remote.release(address, pool.name, scheduled.id, outcome),
       noteFirstByte: firstByteMs =>
         remote.noteFirstByte(address, pool.name, scheduled.id, firstByteMs),
@@ -182,7 +186,7 @@
 
   async function acquireFrom(attempt: Attempt): Promise<AttemptResult> {
     const {pool, service} = attempt;
-    if (remote.isCutOff(clock.now())) return acquireAlone(attempt);
+    if (remote.isCutOff(clock.now())) return acquireFallback(attempt);
     const address = directory.findDispatcher(pool);
     if (address === self.address) {
       return acquireHere(pools.open(service, pool.name), attempt, 'own');
@@ -191,20 +195,25 @@
       return await acquireRemote(address, attempt);
     } catch (error) {
       if (!(error instanceof DispatcherSilentError)) throw error;
-      // The next one is asked: it learns from all others what runs, and can
-      // make items way. Alone, each instance would have its share of slots that
-      // batch work holds until somebody stops it.
+      // Asks the next dispatcher rather than using the own share: the next one
+      // learns from all instances what runs, and can make batch items yield.
+      // With fallback dispatch, batch work would keep the slots of each
+      // instance's share until it is stopped.
       return MOVED;
     }
   }
 
-  async function acquireAlone(attempt: Attempt): Promise<AttemptResult> {
+  async function acquireFallback(attempt: Attempt): Promise<AttemptResult> {
     const {pool, service, request} = attempt;
     if (request.workClass === 'batch') return NO_DISPATCHER;
-    return acquireHere(lone.open(service, pool.name), attempt, 'alone');
+    return acquireHere(
+      fallbackPools.open(service, pool.name),
+      attempt,
+      'alone',
+    );
   }
 
-  /** Tries pools in turn until one gives a slot. */
+  /** Tries pools in turn until one grants a slot. */
   async function acquireFromPools(
     request: SlotRequest,
   ): Promise<Slot | SlotRefusal> {
--- a/src/instance/dispatch/slot_refusal.ts
+++ b/src/instance/dispatch/slot_refusal.ts
@@ -1,4 +1,4 @@
-/** Why a request was given no slot, as its caller is told. */
+/** Reasons why a request gets no slot, and the errors that its caller sees. */
 import {RouterError, type ErrorCode} from '../../common/errors.js';
 import type {RefusalReason} from '../../decisions/scheduler_types.js';
 import {NO_ENDPOINT_RETRY_MS} from './constants.js';
@@ -7,18 +7,21 @@
 export interface SlotRefusal {
   kind: 'refused';
   reason: RefusalReason;
-  /** When the caller may come back. */
+  /** Delay after which the caller may retry. */
   retryAfterMs: number;
 }
 
-/** No endpoint of any pool takes new work. */
+/** Refusal when no endpoint of any pool accepts new work. */
 export const NO_ENDPOINT: SlotRefusal = {
   kind: 'refused',
   reason: 'no-endpoint',
   retryAfterMs: NO_ENDPOINT_RETRY_MS,
 };
 
-/** Batch waits for a dispatcher: alone it could not make way for online. */
+/**
+ * Refusal of batch items when no dispatcher responds: without one, nothing
+ * could make them yield to online requests.
+ */
 export const NO_DISPATCHER: SlotRefusal = {
   kind: 'refused',
   reason: 'overloaded',
@@ -40,7 +43,7 @@
   },
 };
 
-/** The error a refusal is reported with. */
+/** Builds the error by which a refusal is reported to the caller. */
 export function buildRefusalError(refusal: SlotRefusal): RouterError {
   const {code, message} = REFUSALS[refusal.reason];
   return new RouterError(code, message, {
--- a/src/instance/dispatch/slot_reports.ts
+++ b/src/instance/dispatch/slot_reports.ts
@@ -1,50 +1,53 @@
 /**
- * Reports of held slots. A dispatcher that has just taken over learns from them
- * what runs on its endpoints, and one whose grant was lost on the way learns
- * that nobody holds the slot.
+ * Reports of held slots. From them a dispatcher that has just taken over learns
+ * what runs on its endpoints, and a dispatcher whose grant was lost learns that
+ * nobody holds the slot.
  *
- * Failure they answer: while views of who dispatches differ, the end of a
- * request is told to the dispatcher before, and the new one counts its slot as
- * taken. Symptom: after an instance was lost, or only suspected for a moment,
- * half of the endpoints get no work for as long as such slots take to expire.
- * So a pool's new dispatcher is told at once, and a report lists all that its
- * sender holds: a slot of the sender that is not in it is free. An empty report
- * says the most, so pools are reported on for some time after their last slot.
+ * Without the reports, slots leak while instances disagree on which instance
+ * dispatches: the end of a request is reported to the previous dispatcher, and
+ * the new one counts the slot as taken. After an instance was lost, or only
+ * briefly suspected, half of the endpoints then get no work until such slots
+ * expire.
+ *
+ * Therefore a pool's new dispatcher gets a report at once. Each report lists
+ * all slots that its sender holds in a pool, so that the dispatcher can free
+ * the others. Empty reports are sent for some time after the last slot of a
+ * pool, because they free the slots that remain.
  */
 import {groupBy} from '../../common/collections.js';
 import type {ReportInput} from './dispatch_schemas.js';
 import {encodeRequest} from './dispatch_router.js';
 import type {HeldSlot} from './held_slots.js';
 import type {PoolDirectory} from './pool_directory.js';
-import {EMPTY_REPORTS} from './constants.js';
+import {EMPTY_REPORT_COUNT} from './constants.js';
 
-/** What dispatchers are told. */
+/** Builds the reports for the dispatchers of this instance's slots. */
 export interface SlotReporter {
-  /** The report for each dispatcher by its peer address. */
+  /** Builds the reports, keyed by the dispatcher's peer address. */
   build(held: readonly HeldSlot[], now: number): Map<string, SlotReport>;
-  /** Pools whose dispatcher is another one than they were reported to. */
+  /** Lists pools whose dispatcher has changed since they were last reported. */
   listMoved(): MovedPool[];
 }
 
-/** A pool that another instance dispatches for now. */
+/** A pool whose dispatcher has changed. */
 export interface MovedPool {
   pool: string;
-  /** Peer addresses; `to` undefined when the pool is gone. */
+  /** Peer addresses; `to` is undefined when the pool no longer exists. */
   from: string;
   to: string | undefined;
 }
 
-/** The pools of one dispatcher, and every slot of theirs. */
+/** The pools of one dispatcher, and all slots held in them. */
 export type SlotReport = Pick<ReportInput, 'pools' | 'slots'>;
 
 interface ReportedPool {
   service: string;
   dispatcher: string;
-  /** Reports that follow although no slot is held any more. */
+  /** Reports still to send although no slot is held any more. */
   emptyReportsLeft: number;
 }
 
-/** Starts without pools. */
+/** Creates a reporter that has not reported any pool yet. */
 export function createSlotReporter(directory: PoolDirectory): SlotReporter {
   const reported = new Map<string, ReportedPool>();
 
@@ -52,12 +55,12 @@
     const dispatcher = directory.findDispatcherOf(service, pool);
     if (dispatcher === undefined) reported.delete(pool);
     else {
-      const emptyReportsLeft = EMPTY_REPORTS;
+      const emptyReportsLeft = EMPTY_REPORT_COUNT;
       reported.set(pool, {service, dispatcher, emptyReportsLeft});
     }
   }
 
-  /** Pools without slots are kept for some reports. */
+  /** Counts one empty report of a pool, and removes the pool after the last. */
   function noteEmpty(pool: string, {service, emptyReportsLeft}: ReportedPool) {
     const dispatcher = directory.findDispatcherOf(service, pool);
     if (dispatcher === undefined || emptyReportsLeft === 0) {
@@ -95,7 +98,7 @@
   };
 }
 
-/** A held slot as it is told to a dispatcher. */
+/** Converts a held slot to the form in which it is reported. */
 export function encodeSlot(
   slot: HeldSlot,
   now: number,
