--- a/src/instance/limits/acquisition.ts
+++ b/src/instance/limits/acquisition.ts
@@ -1,6 +1,7 @@
 /**
- * How this instance comes to hold a bucket: as an heir, as the first to write
- * its row, or by claiming the row of a view that is over.
+ * Acquires buckets for this instance: by taking over a view as its standby, by
+ * being the first to write a bucket's row, or by claiming the row of a view
+ * whose members have all ended.
  */
 import type {Counter} from 'prom-client';
 import type {Clock} from '../../common/clock.js';
@@ -15,13 +16,13 @@
 import type {Standby} from './standby.js';
 import type {Takeovers} from './takeovers.js';
 
-/** Obtains buckets. */
+/** Acquires buckets. */
 export interface Acquisition {
-  /** Undefined when the bucket is held here now, else what to answer. */
+  /** Undefined when the bucket is now held here, otherwise the reply to a draw. */
   acquire(bucket: string, limits: BucketLimits): Promise<DrawReply | undefined>;
-  /** Where it was found held a moment ago. */
+  /** Returns the cached redirect to a bucket's holder. */
   findRedirect(bucket: string): DrawReply | undefined;
-  /** Forgets writes that were unclear. */
+  /** Forgets row creations with unknown outcome. */
   clear(): void;
 }
 
@@ -37,15 +38,15 @@
   isSelf(incarnation: string): boolean;
   isLive(member: ViewMember): boolean;
   isStoreUp(): boolean;
-  /** Whether this instance may act as owner now. */
+  /** Whether this instance may act as the owner of buckets now. */
   mayAct(): boolean;
 }
 
-type Obtained = DrawReply | undefined;
+type AcquireResult = DrawReply | undefined;
 
 const EMPTY: BucketLevel = {tokens: 0, lent: 0};
 
-/** Starts knowing nothing. */
+/** Creates an acquisition without cached redirects. */
 export function createAcquisition({
   clock,
   table,
@@ -60,19 +61,19 @@
   isStoreUp,
   mayAct,
 }: Dependencies): Acquisition {
-  const obtaining = new Map<string, Promise<Obtained>>();
+  const acquiring = new Map<string, Promise<AcquireResult>>();
   const redirects = new Map<string, {reply: DrawReply; until: number}>();
   const unclearCreates = new Set<string>();
 
-  /** A view lost while the store answered gives no right any more. */
+  /** Adds a bucket, unless its view was lost while the store was accessed. */
   function addBucket(
     id: string,
     view: HeldView,
     limits: BucketLimits,
     level: BucketLevel,
     isTakeover: boolean,
-  ): Obtained {
-    takeovers.removeInheritance(id);
+  ): AcquireResult {
+    takeovers.removeInherited(id);
     if (view.right.isLost) return buildUnavailable(RETRY_MS);
     buckets.add(id, view, limits, level, isTakeover, clock.now());
     return undefined;
@@ -81,22 +82,23 @@
   async function acquireBucket(
     id: string,
     limits: BucketLimits,
-  ): Promise<Obtained> {
+  ): Promise<AcquireResult> {
     if (!mayAct()) return buildUnavailable(RETRY_MS);
     for (const record of standby.listByBucket(id)) {
       const reply = await takeovers.takeOver(record);
       if (reply) return reply;
-      if (takeovers.findInheritance(id)) break;
+      if (takeovers.findInherited(id)) break;
     }
-    const heir = takeovers.findInheritance(id);
-    if (heir) return addBucket(id, heir.view, limits, heir.level, true);
+    const inherited = takeovers.findInherited(id);
+    if (inherited)
+      return addBucket(id, inherited.view, limits, inherited.level, true);
     return acquireFromTable(id, limits);
   }
 
   async function acquireFromTable(
     id: string,
     limits: BucketLimits,
-  ): Promise<Obtained> {
+  ): Promise<AcquireResult> {
     const own = ownView.get() ?? (await ownView.create());
     const row = await table.find(id);
     if (!own || own.right.isLost) return buildUnavailable(RETRY_MS);
@@ -112,7 +114,7 @@
     id: string,
     limits: BucketLimits,
     own: HeldView,
-  ): Promise<Obtained> {
+  ): Promise<AcquireResult> {
     unclearCreates.add(id);
     const created = await table.replace(id, 0, own.view.run);
     unclearCreates.delete(id);
@@ -121,7 +123,7 @@
     return addBucket(id, own, limits, level, false);
   }
 
-  /** The write that made the row took effect and its answer was lost. */
+  /** Adds a bucket whose row this view wrote although the response was lost. */
   function resumeUnclear(id: string, limits: BucketLimits, own: HeldView) {
     const isNew = unclearCreates.delete(id);
     const tokens = isNew ? limits.burst : 0;
@@ -134,31 +136,34 @@
     own: HeldView,
     row: BucketRow,
     tokens: number,
-  ): Promise<Obtained> {
+  ): Promise<AcquireResult> {
     const claimed = await table.replace(id, row.version, own.view.run);
     if (!claimed) return buildUnavailable(RETRY_MS);
     return addBucket(id, own, limits, {tokens, lent: 0}, true);
   }
 
-  /** Sends the caller to who holds it, or claims it when all of them are over. */
+  /** Redirects to the members of the row's view, or claims the row if all ended. */
   async function resolveRow(
     id: string,
     limits: BucketLimits,
     own: HeldView,
     row: BucketRow,
-  ): Promise<Obtained> {
+  ): Promise<AcquireResult> {
     const view = await table.findView(row.run);
     const others = (view?.members ?? []).filter(
       one => !isSelf(one.incarnation),
     );
     const live = others.filter(isLive);
     if (live.length > 0) return buildRedirect(id, live);
-    if (!(await isOver(others))) return buildRedirect(id, others);
+    if (!(await hasEnded(others))) return buildRedirect(id, others);
     counter.inc({way: 'table'});
     return acquireRow(id, limits, own, row, 0);
   }
 
-  /** Also to members that no heartbeat has told of: the list lags. */
+  /**
+   * Builds and caches a redirect, also to members of which no heartbeat has
+   * arrived yet, because the member list lags.
+   */
   function buildRedirect(id: string, to: readonly ViewMember[]): DrawReply {
     const addresses = to.map(({address}) => address);
     const reply: DrawReply = {kind: 'redirect', addresses};
@@ -166,8 +171,8 @@
     return reply;
   }
 
-  /** Whether none of them can hold anything any more. */
-  async function isOver(others: readonly ViewMember[]): Promise<boolean> {
+  /** Whether none of the incarnations can hold a bucket any more. */
+  async function hasEnded(others: readonly ViewMember[]): Promise<boolean> {
     if (!isStoreUp()) return false;
     for (const {incarnation} of others) {
       if (!(await observer.checkOver(incarnation, clock.now()))) return false;
@@ -177,12 +182,12 @@
 
   return {
     acquire(id, limits) {
-      const running = obtaining.get(id);
+      const running = acquiring.get(id);
       if (running) return running;
       const started = acquireBucket(id, limits)
         .catch(() => buildUnavailable(STORE_RETRY_MS))
-        .finally(() => obtaining.delete(id));
-      obtaining.set(id, started);
+        .finally(() => acquiring.delete(id));
+      acquiring.set(id, started);
       return started;
     },
     findRedirect(id) {
--- a/src/instance/limits/bucket_table.ts
+++ b/src/instance/limits/bucket_table.ts
@@ -1,6 +1,6 @@
 /**
- * Which view holds each bucket, in the platform's table. A row changes hands by
- * compare-and-set only; views never change once written.
+ * Stores in the platform's table which view holds each bucket. The view of a
+ * bucket changes by compare-and-set only, and views are immutable.
  */
 import * as z from 'zod';
 import type {RateView} from '../../decisions/rate_view.js';
@@ -10,19 +10,19 @@
 const BUCKETS_PARTITION = 'buckets';
 const VIEWS_PARTITION = 'rate-views';
 
-/** Who holds a bucket. */
+/** The view that holds a bucket. */
 export interface BucketRow {
-  /** Run of the view; empty when the bucket was given back. */
+  /** Run of the view; empty when the bucket was released. */
   run: string;
-  /** Tokens in hand when it was given back. */
+  /** Tokens that were left when the bucket was released. */
   tokens: number;
   version: number;
 }
 
-/** Rows of buckets and views. All methods throw StoreError without an answer. */
+/** Rows of buckets and views. Methods throw StoreError if the store fails. */
 export interface BucketTable {
   find(bucket: string): Promise<BucketRow | undefined>;
-  /** Whether the row was written; `version` 0 when there must be none. */
+  /** Returns whether the row was written; with `version` 0 it must not exist. */
   replace(
     bucket: string,
     version: number,
@@ -30,11 +30,11 @@
     tokens?: number,
   ): Promise<boolean>;
   findView(run: string): Promise<RateView | undefined>;
-  /** Writing the same view again is harmless. */
+  /** Has no effect when the view was written before. */
   addView(view: RateView): Promise<void>;
 }
 
-/** Over the platform's table. */
+/** Creates access to the rows in the platform's table. */
 export function createBucketTable(table: TableStore): BucketTable {
   return {
     async find(bucket) {
--- a/src/instance/limits/claims.ts
+++ b/src/instance/limits/claims.ts
@@ -1,11 +1,13 @@
 /**
- * Looks after the buckets that documents declare: the instance that ranks first
- * for one makes sure that somebody holds it.
+ * Makes sure that the buckets declared by documents have a holder.
  *
- * Failure it answers: an account that was not used lately asks for the first
- * time in an outage of the store. Symptom: nobody holds its bucket and nobody
- * can, so it is refused until the outage ends. Held ahead, it costs its holder
- * some memory and no message.
+ * Without this, the first request of an account that was not used lately can
+ * fall into an outage of the store. No instance holds its bucket then, and none
+ * can acquire it, so that the account is refused until the outage ends.
+ *
+ * Therefore the instance that ranks first for a bucket acquires it in advance,
+ * unless another instance holds it. An unused bucket costs its holder some
+ * memory and no messages.
  */
 import {chooseByRendezvous} from '../../decisions/instance_ranking.js';
 import type {VersionedDocument} from '../configuration/configuration.js';
@@ -18,13 +20,13 @@
 import type {Holder} from './holder.js';
 import type {DeclaredBucket} from './limits.js';
 
-/** Goes round the declared buckets. */
+/** Checks the declared buckets in turn. */
 export interface Claims {
-  /** Looks after the next few that this instance ranks first for. */
+  /** Checks the next few buckets for which this instance ranks first. */
   acquireNext(buckets: readonly DeclaredBucket[], now: number): Promise<void>;
 }
 
-/** Starts with none looked after. */
+/** Creates claims with no bucket checked yet. */
 export function createClaims(members: Members, holder: Holder): Claims {
   const checkedAt = new Map<string, number>();
   let due: DeclaredBucket[] = [];
@@ -37,7 +39,7 @@
     return first?.name === members.self.name;
   }
 
-  /** Ranks every declared bucket: too much work for each round. */
+  /** Ranks every declared bucket, which is too much work for each round. */
   function updateDue(buckets: readonly DeclaredBucket[], now: number) {
     if (now < scanAt) return;
     scanAt = now + CLAIM_SCAN_INTERVAL_MS;
@@ -55,7 +57,7 @@
   };
 }
 
-/** One bucket for each account of each document. */
+/** Lists one bucket for each account of each document. */
 export function listDeclaredBuckets(
   documents: readonly VersionedDocument[],
 ): DeclaredBucket[] {
--- a/src/instance/limits/constants.ts
+++ b/src/instance/limits/constants.ts
@@ -1,49 +1,50 @@
-/** Constants of the limits' messages and table work. Times in ms. */
+/** Constants of the messages and table accesses of limits. Times in ms. */
 
-/** A draw without an answer for this long goes to the next address. */
+/** Timeout of a draw, after which the next address is tried. */
 export const DRAW_TIMEOUT_MS = 250;
 
-/** Other calls about rates. */
+/** Timeout of all other calls about rates. */
 export const CONTROL_TIMEOUT_MS = 300;
 
-/** Addresses tried for one draw before its callers wait. */
+/** Largest number of addresses tried for one draw before its callers wait. */
 export const MAX_HOPS = 5;
 
-/** Finished grants are told together after this long. */
+/** Time for which finished grants are collected before they are sent together. */
 export const SETTLE_DELAY_MS = 20;
 
-/** When to try again while a holder changes. */
+/** Retry delay while the holder of a bucket changes. */
 export const RETRY_MS = 100;
 
-/** When to try again while only the store could help. */
+/** Retry delay when the store did not answer. */
 export const STORE_RETRY_MS = 500;
 
-/** A standby that is silent for this long is replaced by a new view. */
+/** Time without a promise from a standby after which the view is replaced. */
 export const STANDBY_SILENCE_MS = 3000;
 
-/** Buckets moved to the current view in one round, to spare the store. */
+/** Buckets moved to the current view in one round; bounds the store's load. */
 export const MOVES_PER_ROUND = 10;
 
-/** Share of a full bucket that is set aside for the successor. */
+/** Share of a bucket's tokens that is reserved for the successor. */
 export const RESERVE_SHARE = 0.5;
 
-/** Where a bucket is held is asked again after this long. */
+/** Time for which the addresses of a bucket's holder are cached. */
 export const REDIRECT_LIFETIME_MS = 1000;
 
-/** Declared buckets looked after in one round, to spare the store. */
+/** Declared buckets checked in one round; bounds the store's load. */
 export const CLAIMS_PER_ROUND = 2;
 
-/** A declared bucket is looked after again after this long. */
+/** Time after which a declared bucket is checked again. */
 export const CLAIM_LIFETIME_MS = 600_000;
 
-/** Time between two rankings of all declared buckets (20 ms at 8,280 of them). */
+/** Interval between rankings of all declared buckets (20 ms for 8,280 buckets). */
 export const CLAIM_SCAN_INTERVAL_MS = 10_000;
 
 /**
- * An account's owner that gives no answer for this long is decided without: it
- * answers within 2 ms, and a request has some 250 ms to its first event.
+ * Time without a response from an account's owner after which this instance
+ * decides from its own share. An owner responds within 2 ms, and a request has
+ * about 250 ms until its first event.
  */
 export const OWNER_TIMEOUT_MS = 100;
 
-/** An owner that gave no answer is not asked again for this long. */
+/** Time for which an owner that did not respond is not asked again. */
 export const OWNER_COOLDOWN_MS = 500;
--- a/src/instance/limits/held_buckets.ts
+++ b/src/instance/limits/held_buckets.ts
@@ -1,4 +1,4 @@
-/** The buckets that this instance holds, and by which right. */
+/** The buckets that this instance holds, and the views that give it the right. */
 import {
   createRateBucket,
   type BucketLevel,
@@ -14,24 +14,24 @@
   right: HolderRight;
 }
 
-/** One bucket. */
+/** A bucket that this instance holds. */
 export interface HeldBucket {
   id: string;
-  /** Tells this ledger from any other of the same bucket. */
+  /** Distinguishes this ledger from any other of the same bucket. */
   tag: string;
   ledger: RateBucket;
   limits: BucketLimits;
   /**
-   * The view whose row is in the table. While a write that moves it is unclear
-   * there are two, and both must allow a grant.
+   * The view that the bucket's row names. There are two while the outcome of a
+   * write that moves the bucket is unknown, and both must allow a grant.
    */
   views: HeldView[];
   recoveringUntil: number;
-  /** The reserve is being taken back. */
-  lowering: boolean;
+  /** Whether the standby is being told that the reserve is released. */
+  isReleasingReserve: boolean;
 }
 
-/** All of them. */
+/** All buckets that this instance holds. */
 export interface HeldBuckets {
   find(id: string): HeldBucket | undefined;
   list(): HeldBucket[];
@@ -44,15 +44,15 @@
     now: number,
   ): HeldBucket;
   remove(id: string): void;
-  /** Drops every bucket that needs this view. */
+  /** Removes every bucket that needs this view. */
   removeView(run: string): void;
   clear(): void;
 }
 
-/** Starts with none. `owner` makes tags unique over the fleet. */
+/** Creates an empty set. `owner` makes tags unique over the fleet. */
 export function createHeldBuckets(owner: () => string): HeldBuckets {
   const buckets = new Map<string, HeldBucket>();
-  let ledgers = 0;
+  let ledgerCount = 0;
 
   return {
     find: id => buckets.get(id),
@@ -60,12 +60,12 @@
     add(id, view, limits, level, isTakeover, now) {
       const bucket: HeldBucket = {
         id,
-        tag: `${owner()}/${++ledgers}`,
+        tag: `${owner()}/${++ledgerCount}`,
         ledger: createRateBucket(limits, level, now),
         limits,
         views: [view],
         recoveringUntil: isTakeover ? now + RECOVERY_MS : -Infinity,
-        lowering: false,
+        isReleasingReserve: false,
       };
       buckets.set(id, bucket);
       return bucket;
--- a/src/instance/limits/holder.ts
+++ b/src/instance/limits/holder.ts
@@ -1,6 +1,6 @@
 /**
- * This instance as a holder: it grants tokens of the buckets it holds, obtains
- * those that nobody holds, and takes over after a holder that is gone.
+ * The holder role of this instance: it grants tokens of the buckets it holds,
+ * acquires buckets without a holder, and takes over from holders that are lost.
  */
 import type {Clock} from '../../common/clock.js';
 import type {Metrics} from '../../common/metrics.js';
@@ -36,20 +36,20 @@
 import type {OwnView} from './own_view.js';
 import type {Standby} from './standby.js';
 import {createTakeovers} from './takeovers.js';
-import {createViewUpkeep} from './view_upkeep.js';
+import {createViewMaintenance} from './view_maintenance.js';
 
-/** The holder's part of limits. */
+/** The operations of a holder. */
 export interface Holder extends LimitProcedures {
-  /** Takes a bucket that nobody holds; returns whether somebody holds it now. */
+  /** Acquires a bucket if it has no holder; returns whether it has one now. */
   ensureHeld(bucket: string, limits: BucketLimits): Promise<boolean>;
   /** Renews promises, sets reserves, and moves buckets to a newer view. */
   runRound(): Promise<void>;
-  /** Passes everything on, so that nobody waits for this instance. */
+  /** Hands everything over, so that no other instance waits for this one. */
   shut(): Promise<void>;
   describe(now: number): object;
 }
 
-/** What the holder works with. */
+/** Dependencies of the holder. */
 export interface HolderDependencies {
   clock: Clock;
   metrics: Metrics;
@@ -61,23 +61,26 @@
   observer: LeaseObserver;
   getIncarnation(): string;
   isSelf(incarnation: string): boolean;
-  /** Until when this instance may act as owner, by its lease or an outage. */
-  isFenced(until: number): boolean;
+  /**
+   * Whether this instance may act as owner until a time, because of its lease
+   * or of an outage of the store.
+   */
+  mayActUntil(until: number): boolean;
   /** Whether the store is up for most of the fleet. */
   isStoreUp(): boolean;
 }
 
-/** Starts holding nothing. */
+/** Creates a holder without buckets. */
 export function createHolder(dependencies: HolderDependencies): Holder {
   const {clock, members, table, peers, standby, ownView} = dependencies;
-  const {getIncarnation, isSelf, isFenced} = dependencies;
+  const {getIncarnation, isSelf, mayActUntil} = dependencies;
   const buckets = createHeldBuckets(getIncarnation);
   const counter = dependencies.metrics.createCounter(
     'limit_takeovers_total',
     'Views of buckets taken over from another holder, by way',
     ['way'],
   );
-  let shutting = false;
+  let isShuttingDown = false;
   let incarnation = getIncarnation();
   const takeovers = createTakeovers({
     ...dependencies,
@@ -91,11 +94,11 @@
     takeovers,
     counter,
     isLive,
-    mayAct: () => !shutting && isFenced(clock.now()),
+    mayAct: () => !isShuttingDown && mayActUntil(clock.now()),
   });
-  const upkeep = createViewUpkeep({...dependencies, buckets});
+  const maintenance = createViewMaintenance({...dependencies, buckets});
 
-  /** This very run of it: another one holds nothing. */
+  /** Whether this incarnation is live; a later one of the instance holds nothing. */
   function isLive(member: ViewMember): boolean {
     const {name, address} = member;
     const heard = members.findIncarnation(name) ?? member.incarnation;
@@ -107,11 +110,12 @@
   }
 
   /**
-   * Failure it answers: this instance and its views' other members were silent
-   * for a lease, others claimed their buckets in the table, and all wake up.
-   * Symptom: they promise and elect each other again, beside the new holder.
-   * A claim expires their leases first, so that whoever lost its lease starts
-   * anew and forgets; until it knows, it is not fenced and grants nothing.
+   * Drops all state when the lease was lost. Otherwise, if this instance and the
+   * other members of its views were paused for the length of a lease and other
+   * instances claimed their buckets in the table, they would promise to and
+   * elect each other again, beside the new holder. A claim expires their leases
+   * first, so that each of them starts afresh. Until an instance learns of the
+   * loss, the expired lease keeps it from granting.
    */
   function resetIfLeaseLost() {
     if (getIncarnation() === incarnation) return;
@@ -126,7 +130,7 @@
 
   function isGrantable(bucket: HeldBucket, now: number): boolean {
     const until = now + GRANT_LIFETIME_MS + CLOCK_MARGIN_MS;
-    if (shutting || !isFenced(until)) return false;
+    if (isShuttingDown || !mayActUntil(until)) return false;
     return bucket.views.every(({right}) => right.canGrant(now));
   }
 
@@ -144,7 +148,7 @@
     bucket.ledger.setLimits(limits, clock.now());
     await releaseReserve(bucket, wanted);
     const now = clock.now();
-    // It may have been given up while the standby answered.
+    // The bucket may have been removed while the standby responded.
     if (buckets.find(bucket.id) !== bucket) return buildUnavailable(RETRY_MS);
     if (!isGrantable(bucket, now)) {
       return buildUnavailable(RETRY_MS, listSuccessors(bucket));
@@ -160,19 +164,19 @@
   }
 
   /**
-   * A burst that needs the tokens set aside gets them: the standby is told
-   * first, and only when it has taken that in are they used here.
+   * Releases the reserved tokens to a burst that needs them. They are used here
+   * only after the standby has applied the change.
    */
   async function releaseReserve(bucket: HeldBucket, wanted: number) {
     const {ledger} = bucket;
-    if (bucket.lowering || ledger.reserved === 0) return;
+    if (bucket.isReleasingReserve || ledger.reserved === 0) return;
     if (ledger.readLevel(clock.now()).tokens - ledger.reserved >= wanted)
       return;
-    bucket.lowering = true;
+    bucket.isReleasingReserve = true;
     const run = bucket.views[0].view.run;
     const isTold = ownView.get()?.view.run === run;
     const taken = !isTold || (await ownView.reportReserve(bucket, 0));
-    bucket.lowering = false;
+    bucket.isReleasingReserve = false;
     if (taken) ledger.releaseReserve(clock.now());
   }
 
@@ -185,8 +189,8 @@
     if (known) return known;
     const reply = await acquisition.acquire(id, limits);
     if (reply) return reply;
-    const obtained = buckets.find(id);
-    return obtained ? drawHeld(obtained, input) : buildUnavailable(RETRY_MS);
+    const acquired = buckets.find(id);
+    return acquired ? drawHeld(acquired, input) : buildUnavailable(RETRY_MS);
   }
 
   async function releaseView(own: HeldView) {
@@ -194,20 +198,25 @@
     const input = {
       view: own.view,
       owned: own.right.isOwned,
-      buckets: upkeep.listOwn().map(({id, ledger, limits}) => ({
+      buckets: maintenance.listOwn().map(({id, ledger, limits}) => ({
         bucket: id,
         limits,
         ...ledger.readLevel(now),
       })),
     };
     own.right.noteLost();
-    const heir = own.view.members.slice(1).find(isLive);
-    if (!heir) return giveBack(input.buckets);
-    await peers.handOver(heir.address, {...input, to: heir.incarnation});
+    const successor = own.view.members.slice(1).find(isLive);
+    if (!successor) return storeRemainingTokens(input.buckets);
+    await peers.handOver(successor.address, {
+      ...input,
+      to: successor.incarnation,
+    });
   }
 
-  /** Nobody is left to take over: the rows keep what was in hand. */
-  async function giveBack(given: {bucket: string; tokens: number}[]) {
+  /** Stores the remaining tokens in the rows, as no standby can take over. */
+  async function storeRemainingTokens(
+    given: {bucket: string; tokens: number}[],
+  ) {
     for (const {bucket, tokens} of given) {
       const row = await table.find(bucket);
       if (row?.run !== ownView.get()?.view.run || !row) continue;
@@ -234,7 +243,7 @@
     },
     handOver(input: HandOverInput) {
       resetIfLeaseLost();
-      const isForThisRun = !shutting && isSelf(input.to);
+      const isForThisRun = !isShuttingDown && isSelf(input.to);
       return {accepted: isForThisRun && takeovers.receive(input)};
     },
     async ensureHeld(id, limits) {
@@ -245,10 +254,10 @@
     },
     async runRound() {
       resetIfLeaseLost();
-      if (!shutting) await upkeep.runRound();
+      if (!isShuttingDown) await maintenance.runRound();
     },
     async shut() {
-      shutting = true;
+      isShuttingDown = true;
       const own = ownView.get();
       if (own && !own.right.isLost) await releaseView(own);
     },
@@ -258,7 +267,7 @@
       held: Object.fromEntries(
         buckets.list().map(({id, ledger}) => [id, ledger.describe(now)]),
       ),
-      inherited: takeovers.countInheritances(),
+      inherited: takeovers.countInherited(),
       standby: standby.describe(now),
     }),
   };
--- a/src/instance/limits/limit_messages.ts
+++ b/src/instance/limits/limit_messages.ts
@@ -5,20 +5,20 @@
 const countSchema = z.number().int().nonnegative();
 const timeSchema = z.number().nonnegative();
 
-/** A member of a view, as sent. */
+/** A member of a view, as it is sent and stored. */
 export const viewMemberSchema = z.strictObject({
   name: z.string().max(63),
   address: z.string().max(64),
   incarnation: z.string().max(64),
 });
 
-/** A view, as sent and stored. */
+/** A view, as it is sent. */
 export const viewSchema = z.strictObject({
   run: z.string().max(80),
   members: z.array(viewMemberSchema).min(1).max(3),
 });
 
-/** Rate and burst of a document's version. */
+/** Rate and burst of an account in one version of a document. */
 export const bucketLimitsSchema = z.strictObject({
   version: countSchema,
   rate: z.number().positive(),
@@ -32,7 +32,7 @@
   limits: bucketLimitsSchema,
 });
 
-/** The holder's answer, or where to ask instead. */
+/** The holder's grant, or the addresses to ask instead. */
 export type DrawReply =
   | {
       kind: 'granted';
@@ -43,15 +43,15 @@
       spacingMs: number;
       retryAfterMs: number;
       recovering: boolean;
-      /** Who holds the bucket, and who will after it. */
+      /** Tag of the holder's ledger, and the addresses of its standbys. */
       run: string;
       successors: string[];
     }
   | {kind: 'redirect'; addresses: string[]}
-  /** `addresses` are worth asking before trying again. */
+  /** `addresses` should be asked before the retry. */
   | {kind: 'unavailable'; retryAfterMs: number; addresses: string[]};
 
-/** Grants that are finished; several buckets of one holder together. */
+/** Finished grants of several buckets of one holder. */
 export const settleSchema = z.strictObject({
   grants: z
     .array(
@@ -65,14 +65,14 @@
     .max(256),
 });
 
-/** A bucket of a view, and the tokens set aside for its successor. */
+/** A bucket of a view, and the tokens reserved for its successor. */
 const reserveSchema = z.strictObject({bucket: idSchema, tokens: countSchema});
 
-/** The holder asks a standby to promise not to take over. */
+/** A holder asks a standby for the promise not to take over. */
 export const renewSchema = z.strictObject({
   view: viewSchema,
   to: z.string().max(64),
-  /** Grows with each message; an older one that arrives late is ignored. */
+  /** Increases with each message; an older one that arrives late is ignored. */
   sequence: countSchema,
   /** Buckets that were added or whose reserve changed. */
   changes: z.array(reserveSchema).max(512),
@@ -85,11 +85,11 @@
   candidate: z.string().max(64),
 });
 
-/** A holder that shuts down passes its buckets on. */
+/** A holder that shuts down hands its buckets over. */
 export const handOverSchema = z.strictObject({
   view: viewSchema,
   to: z.string().max(64),
-  /** The holder alone may act: no vote is needed. */
+  /** The holder owns the view, so no vote is needed. */
   owned: z.boolean(),
   buckets: z
     .array(
@@ -109,18 +109,18 @@
 export type VoteInput = z.infer<typeof voteSchema>;
 export type HandOverInput = z.infer<typeof handOverSchema>;
 
-/** A standby's answer to a renewal. */
+/** A standby's response to a renewal. */
 export type RenewReply =
-  /** `applied` tells whether the changes were taken in: newer ones may be. */
+  /** `applied` is false when newer changes have already been applied. */
   {kind: 'promised'; applied: boolean} | {kind: 'sealed'} | {kind: 'unknown'};
 
-/** A vote, or why there is none. */
+/** A vote, or the reason why there is none. */
 export type VoteReply =
   | {kind: 'voted'; candidate: string}
   | {kind: 'wait'; retryAfterMs: number}
   | {kind: 'unknown'};
 
-/** The answer of who cannot grant now. */
+/** Builds the reply of an instance that cannot grant now. */
 export function buildUnavailable(
   retryAfterMs: number,
   addresses: string[] = [],
--- a/src/instance/limits/limit_peers.ts
+++ b/src/instance/limits/limit_peers.ts
@@ -1,4 +1,4 @@
-/** Calls to other instances about rates, each with its time-out. */
+/** Calls to other instances about rates, each with its timeout. */
 import type {PeerClients} from '../peers/peer_client.js';
 import {CONTROL_TIMEOUT_MS, DRAW_TIMEOUT_MS} from './constants.js';
 import type {
@@ -13,7 +13,7 @@
 } from './limit_messages.js';
 import type {LimitProcedures} from './limits_router.js';
 
-/** Rejects when the peer gives no answer in time. */
+/** Calls to peers. They reject when the peer does not respond in time. */
 export interface LimitPeers {
   draw(address: string, input: DrawInput): Promise<DrawReply>;
   settle(address: string, input: SettleInput): Promise<void>;
@@ -25,7 +25,7 @@
 const DRAW_OPTIONS = {context: {timeoutMs: DRAW_TIMEOUT_MS}};
 const CONTROL_OPTIONS = {context: {timeoutMs: CONTROL_TIMEOUT_MS}};
 
-/** Over the peers' connections; calls to `self` stay in the process. */
+/** Creates calls over the peers' connections; calls to itself stay in the process. */
 export function createLimitPeers(
   peers: Pick<PeerClients, 'get'>,
   getSelfAddress: () => string,
--- a/src/instance/limits/limits.test.ts
+++ b/src/instance/limits/limits.test.ts
@@ -1,4 +1,4 @@
-/** Rate and burst over the fleet, on virtual time, under single faults. */
+/** Tests of rate and burst over the fleet, on virtual time, with single faults. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
@@ -22,7 +22,7 @@
   excess: number;
 }
 
-/** Asks every `everyMs` at the next instance in turn that still runs. */
+/** Sends a request every `everyMs`, to the running instances in turn. */
 async function runLoad(
   fleet: LimitsFleet,
   durationMs: number,
@@ -59,14 +59,14 @@
 }
 
 describe('limits', () => {
-  it('refuses nobody inside the rate, on whichever instance', async () => {
+  it('refuses no request within the rate, on any instance', async () => {
     const fleet = await startFleet();
     const load = await runLoad(fleet, 10_000, 1000 / 48);
     assert.equal(load.refused, 0);
     assert.equal(load.excess, 0);
   });
 
-  it('grants the burst and the rate, and no more, to an account at 5 times its rate', async () => {
+  it('grants burst and rate, and no more, to an account that sends 5 times its rate', async () => {
     const fleet = await startFleet();
     const load = await runLoad(fleet, 10_000, 4);
     assert.equal(load.excess, 0);
@@ -74,10 +74,10 @@
     assert.ok(load.granted <= 50 * 14 + 20, `${load.granted}`);
   });
 
-  it('goes on through the loss of the holder', async t => {
-    // The instance that holds an account's bucket dies. Callers of the account
-    // wait on the other instances; the first standby's promise ends, it takes
-    // over with the tokens set aside, and the waiting callers are answered.
+  it('continues after the loss of the holder', async t => {
+    // The instance that holds an account's bucket fails, and requests of the
+    // account wait on the other instances. When the first standby's promise
+    // ends, it takes over with the reserved tokens and serves the requests.
     const fleet = await startFleet();
     await runLoad(fleet, 3000, 25);
     fleet.kill(findHolder(fleet));
@@ -87,9 +87,9 @@
     assert.ok(load.refused / load.granted < 0.1, `${load.refused}`);
   });
 
-  it('goes on through an outage of the store, and a holder lost in it', async t => {
-    // No lease can be renewed for two minutes. The holder goes on by its
-    // standbys' promises; when it dies too, they elect one of themselves.
+  it('continues when the store is down and the holder is lost meanwhile', async t => {
+    // No lease can be renewed for 2 minutes. The holder continues on its
+    // standbys' promises; when it fails too, they elect one of themselves.
     const fleet = await startFleet();
     await runLoad(fleet, 3000, 25);
     fleet.platform.faults.down = true;
@@ -103,9 +103,9 @@
     assert.ok(load.refused / load.granted < 0.1, `${load.refused}`);
   });
 
-  it('goes on when the store goes down just after the holder was lost', async () => {
-    // The same two failures in the other order: the standbys elect one of
-    // themselves without the store, before any lease of the dead one is over.
+  it('continues when the store goes down just after the holder was lost', async () => {
+    // The same 2 failures in the opposite order: the standbys elect one of
+    // themselves without the store, before the failed holder's lease expires.
     const fleet = await startFleet();
     const oracle = createRateOracle(LIMITS);
     await runLoad(fleet, 3000, 25, oracle);
@@ -126,10 +126,10 @@
     assert.equal(load.excess, 0);
   });
 
-  it('never grants twice after a pause longer than every promise', async () => {
-    // The holder is paused past its promises, a standby takes over, the holder
-    // wakes with tokens in hand and calls waiting. Its promises have ended on
-    // its own clock, so it grants none of them.
+  it('grants no token twice after a pause longer than every promise', async () => {
+    // The holder is paused beyond its promises, and a standby takes over. When
+    // the holder resumes, it has tokens and waiting calls, but its promises have
+    // expired on its own clock, so it grants nothing.
     const fleet = await startFleet();
     const oracle = createRateOracle(LIMITS);
     await runLoad(fleet, 2000, 4, oracle);
@@ -142,11 +142,11 @@
     assert.ok(load.granted > 0);
   });
 
-  it('uses no token set aside before its standby has let go of it', async () => {
-    // Half of a full bucket is set aside at the first standby. The way to it is
-    // cut, a burst comes that needs all, the holder dies and the standby takes
-    // over with its half. Had the holder used that half too, the burst would
-    // have been granted one and a half times.
+  it('uses no reserved token before its standby has released it', async () => {
+    // Half of a full bucket is reserved for the first standby. The connection to
+    // it is cut, a burst arrives that needs all tokens, the holder fails and the
+    // standby takes over with its half. If the holder had used that half too,
+    // one and a half bursts would have been granted.
     const limits = {rate: 1, burst: 40, weight: 1};
     const fleet = await startFleet();
     const oracle = createRateOracle(limits);
@@ -176,11 +176,11 @@
     assert.equal(oracle.excess, 0);
   });
 
-  it('grants nothing from a view that was claimed while all of it was paused', async () => {
-    // Holder and both standbys are paused for over a lease; another instance
-    // claims the bucket in the table and grants. They wake with promises to
-    // make and tokens set aside; but the claim expired their leases first, so
-    // their runs are over and they start anew.
+  it('grants nothing from a view that was claimed while all its members were paused', async () => {
+    // The holder and both standbys are paused for longer than a lease, and
+    // another instance claims the bucket in the table and grants. When they
+    // resume, they could still promise and use reserved tokens. The claim
+    // expired their leases first, so that they start afresh instead.
     const fleet = await startFleet();
     const oracle = createRateOracle(LIMITS);
     await runLoad(fleet, 2000, 10, oracle);
@@ -199,7 +199,7 @@
     assert.equal(load.excess, 0);
   });
 
-  it('is back within a minute when every instance was replaced at once', async () => {
+  it('recovers within a minute when every instance is replaced at once', async () => {
     const fleet = await startFleet(4);
     await runLoad(fleet, 2000, 25);
     for (const name of fleet.names) fleet.kill(name);
--- a/src/instance/limits/limits.ts
+++ b/src/instance/limits/limits.ts
@@ -1,6 +1,4 @@
-/**
- * Rate and burst of each client account across the whole fleet.
- */
+/** Limits the rate and burst of each client account across the whole fleet. */
 import type {Clock} from '../../common/clock.js';
 import type {Metrics} from '../../common/metrics.js';
 import type {StateSource} from '../../common/state_dump.js';
@@ -28,38 +26,38 @@
   isStoreUpForMost,
 } from './store_outage.js';
 
-/** Whose bucket a request draws from. */
+/** Identifies the bucket that a request draws from. */
 export interface BucketId {
   service: string;
   account: string;
 }
 
-/** Whether a request is inside its account's rate. */
+/** Whether a request is within its account's rate. */
 export type LimitDecision =
   | {kind: 'granted'}
   | {
       kind: 'refused';
       retryAfterMs: number;
-      /** The account is over its rate, or nobody can tell whether it is. */
+      /** The account is over its rate, or no instance can tell whether it is. */
       reason?: RateRefusal;
     };
 
 /** The fleet-wide limits as seen from this instance. */
 export interface Limits {
   /**
-   * Takes one token, waiting a short bounded time for it if need be.
-   * `limits` are those of the document in force.
+   * Takes one token, and waits a short, bounded time for it if necessary.
+   * `limits` are those of the active document.
    */
   acquire(bucket: BucketId, limits: AccountLimits): Promise<LimitDecision>;
 }
 
-/** A bucket that a document in force declares. */
+/** A bucket that an active document declares. */
 export interface DeclaredBucket {
   bucket: string;
   limits: BucketLimits;
 }
 
-/** What fleet-wide limits work with. */
+/** Dependencies of fleet-wide limits. */
 export interface FleetLimitsDependencies {
   clock: Clock;
   metrics: Metrics;
@@ -67,25 +65,28 @@
   members: Members;
   peers: Pick<PeerClients, 'get'>;
   lease: InstanceLease;
-  /** Version of a service's document in force here; 0 when unknown. */
+  /** Version of a service's document that is active here; 0 when unknown. */
   findVersion(service: string): number;
-  /** Every bucket of the documents in force here. */
+  /** Lists the buckets of all documents that are active here. */
   listBuckets(): DeclaredBucket[];
   /** Whether this instance's last read of the store succeeded. */
   isStoreReachable(): boolean;
 }
 
-/** Fleet-wide limits with what the instance runs of them. */
+/** Fleet-wide limits, with the operations for peers and periodic tasks. */
 export interface FleetLimits extends Limits, StateSource {
-  /** What peers call. */
+  /** Procedures that peers call. */
   procedures: LimitProcedures;
-  /** Renews what this instance holds; run every PROMISE_RENEWAL_MS. */
+  /** Renews what this instance holds; runs every PROMISE_RENEWAL_MS. */
   runRound(): Promise<void>;
-  /** Passes held buckets on before the instance ends. */
+  /** Hands held buckets over before the instance stops. */
   shut(): Promise<void>;
 }
 
-/** One bucket for each account over the whole fleet: docs/design/limits.md. */
+/**
+ * Creates limits with one bucket for each account over the whole fleet. The
+ * design is described in docs/design/limits.md.
+ */
 export function createFleetLimits({
   clock,
   metrics,
@@ -117,7 +118,7 @@
     );
   }
 
-  // The holder's own procedures are called without a connection.
+  // This instance calls its own procedures directly, without a connection.
   const local: LimitProcedures = {
     draw: input => holder.draw(input),
     settle: input => holder.settle(input),
@@ -145,7 +146,8 @@
     observer: createLeaseObserver(table),
     getIncarnation,
     isSelf,
-    isFenced: until => lease.isHeld(until) || isStoreDownForAll(countReports()),
+    mayActUntil: until =>
+      lease.isHeld(until) || isStoreDownForAll(countReports()),
     isStoreUp: () => isStoreReachable() && isStoreUpForMost(countReports()),
   });
   const client = createRateClient(clock, members, limitPeers);
@@ -178,7 +180,7 @@
   filledAt: number;
 }
 
-/** One bucket for each account, on this instance alone. */
+/** Creates limits with one bucket for each account on this instance only. */
 export function createLocalLimits(clock: Clock): Limits {
   const buckets = new Map<string, Bucket>();
 
--- a/src/instance/limits/limits_faults.test.ts
+++ b/src/instance/limits/limits_faults.test.ts
@@ -1,7 +1,8 @@
 /**
- * The promise itself: over any window the fleet grants at most
- * rate x t + burst, whatever fails. fast-check makes up scripts of faults; an
- * oracle sums every grant of every instance. FAULT_RUNS=500 plays more.
+ * Tests the guarantee of limits: over any window of length t the fleet grants at
+ * most rate x t + burst, whatever fails. fast-check generates scenarios of
+ * faults, and an oracle sums every grant of every instance. FAULT_RUNS=500 runs
+ * more scenarios.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -15,8 +16,8 @@
 const RUNS = Number(process.env.FAULT_RUNS ?? 40);
 const SEED = Number(process.env.FAULT_SEED ?? 20261202);
 
-/** Scripts that once broke the promise. */
-const FOUND: {why: string; seed: number; faults: Fault[]}[] = [];
+/** Scenarios in which the guarantee was once broken. */
+const REGRESSIONS: {why: string; seed: number; faults: Fault[]}[] = [];
 
 describe('limits under faults', () => {
   it('never grants more than rate and burst over any window', async t => {
@@ -33,11 +34,11 @@
       ),
       {numRuns: RUNS, seed: SEED, endOnFailure: RUNS < 50},
     );
-    t.diagnostic(`${RUNS} scripts, ${granted} grants`);
-    assert.ok(granted > RUNS * 20, 'the scripts must grant something');
+    t.diagnostic(`${RUNS} scenarios, ${granted} grants`);
+    assert.ok(granted > RUNS * 20, 'too few grants in the scenarios');
   });
 
-  for (const {why, seed, faults} of FOUND) {
+  for (const {why, seed, faults} of REGRESSIONS) {
     it(why, async () => {
       assert.equal((await runFaults(faults, seed)).excess, 0);
     });
--- a/src/instance/limits/limits_router.ts
+++ b/src/instance/limits/limits_router.ts
@@ -16,7 +16,7 @@
   type VoteReply,
 } from './limit_messages.js';
 
-/** The parts of limits that peers may call. */
+/** The operations of limits that peers may call. */
 export interface LimitProcedures {
   draw(input: DrawInput): Promise<DrawReply>;
   settle(input: SettleInput): void;
@@ -25,7 +25,7 @@
   handOver(input: HandOverInput): {accepted: boolean};
 }
 
-/** One procedure for each. */
+/** Builds one procedure for each operation. */
 export function buildLimitsRouter(limits: LimitProcedures) {
   return buildPeerRouterOf({
     draw: peerProcedure
--- a/src/instance/limits/own_view.ts
+++ b/src/instance/limits/own_view.ts
@@ -1,6 +1,7 @@
 /**
- * The view in which this instance is the holder: chosen, written once, kept by
- * renewals, and replaced when a standby is lost or a better one is there.
+ * The view in which this instance is the holder. It is chosen, written once and
+ * kept by renewals, and replaced when a standby is lost or more standbys are
+ * available.
  */
 import type {Clock} from '../../common/clock.js';
 import {rankByRendezvous} from '../../decisions/instance_ranking.js';
@@ -17,23 +18,23 @@
 import type {HeldBucket, HeldView} from './held_buckets.js';
 import type {LimitPeers} from './limit_peers.js';
 
-/** Standbys of one view. */
+/** Number of standbys of one view. */
 const STANDBYS = 2;
 
 /** The holder's own view. */
 export interface OwnView {
   get(): HeldView | undefined;
-  /** Makes one if there is none; throws StoreError. */
+  /** Creates a view; concurrent calls get the same one. Throws StoreError. */
   create(): Promise<HeldView | undefined>;
-  /** Asks each standby for its promise, telling it of `buckets`. */
+  /** Asks each standby for its promise and sends it changes of `buckets`. */
   renew(buckets: readonly HeldBucket[]): Promise<void>;
-  /** Tells the first standby at once; returns whether it has taken it in. */
+  /** Sends a reserve to the first standby; returns whether it was applied. */
   reportReserve(bucket: HeldBucket, tokens: number): Promise<boolean>;
-  /** Whether a new view should replace it. */
+  /** Whether a new view should replace the current one. */
   isOutdated(): boolean;
-  /** Makes this instance the only one that may act in it. */
-  own(): Promise<boolean>;
-  /** Forgets it; the next `create` makes another. */
+  /** Makes this instance the only one that may act in the view. */
+  takeOwnership(): Promise<boolean>;
+  /** Drops the view. */
   clear(): void;
 }
 
@@ -42,17 +43,17 @@
   members: Members;
   table: BucketTable;
   peers: LimitPeers;
-  /** The incarnation of this instance's lease, which a view is tied to. */
+  /** The incarnation of this instance's lease, to which a view is bound. */
   getIncarnation(): string;
 }
 
 interface StandbyState {
   member: ViewMember;
-  heardAt: number;
-  told: Map<string, number>;
+  lastPromiseAt: number;
+  sentReserves: Map<string, number>;
 }
 
-/** Starts without a view. */
+/** Creates an own view that is still empty. */
 export function createOwnView({
   clock,
   members,
@@ -62,11 +63,11 @@
 }: Dependencies): OwnView {
   let held: HeldView | undefined;
   let standbys: StandbyState[] = [];
-  let views = 0;
+  let viewCount = 0;
   let sequence = 0;
   let creating: Promise<HeldView | undefined> | undefined;
 
-  /** Live, and heard of, so that its incarnation is known. */
+  /** Lists live instances whose incarnation is known. */
   function listCandidates(): ListedInstance[] {
     return members
       .listLive()
@@ -74,7 +75,7 @@
       .filter(({name}) => members.findIncarnation(name) !== undefined);
   }
 
-  /** In other failure domains of the same region as far as there are some. */
+  /** Prefers other failure domains first, then this instance's region. */
   function chooseStandbys(): ListedInstance[] {
     const {self} = members;
     const others = listCandidates();
@@ -104,7 +105,7 @@
       incarnation: members.findIncarnation(one.name)!,
     }));
     return {
-      run: `${incarnation}.${++views}`,
+      run: `${incarnation}.${++viewCount}`,
       members: [{name, address, incarnation}, ...standbyMembers],
     };
   }
@@ -114,8 +115,8 @@
     await table.addView(view);
     standbys = view.members.slice(1).map(member => ({
       member,
-      heardAt: clock.now(),
-      told: new Map(),
+      lastPromiseAt: clock.now(),
+      sentReserves: new Map(),
     }));
     const next = {view, right: createHolderRight(view)};
     held = next;
@@ -129,11 +130,11 @@
   ): {bucket: string; tokens: number}[] {
     const isFirst = standby === standbys[0];
     return buckets
-      .map(({id, ledger, lowering}) => ({
+      .map(({id, ledger, isReleasingReserve}) => ({
         bucket: id,
-        tokens: isFirst && !lowering ? ledger.reserved : 0,
+        tokens: isFirst && !isReleasingReserve ? ledger.reserved : 0,
       }))
-      .filter(({bucket, tokens}) => standby.told.get(bucket) !== tokens)
+      .filter(({bucket, tokens}) => standby.sentReserves.get(bucket) !== tokens)
       .slice(0, 512);
   }
 
@@ -150,15 +151,17 @@
       sequence: ++sequence,
       changes,
     };
-    // What a lost message told is unknown: it is told again.
-    for (const {bucket} of changes) standby.told.delete(bucket);
+    // A message that is lost may or may not have been applied, so that its
+    // changes are sent again.
+    for (const {bucket} of changes) standby.sentReserves.delete(bucket);
     const answer = await peers.renew(address, input);
     if (answer.kind === 'sealed') current.right.noteLost();
     if (answer.kind !== 'promised') return false;
-    standby.heardAt = clock.now();
+    standby.lastPromiseAt = clock.now();
     current.right.notePromise(incarnation, askedAt);
     if (!answer.applied) return false;
-    for (const {bucket, tokens} of changes) standby.told.set(bucket, tokens);
+    for (const {bucket, tokens} of changes)
+      standby.sentReserves.set(bucket, tokens);
     return true;
   }
 
@@ -210,14 +213,14 @@
       const now = clock.now();
       const candidates = listCandidates();
       const silent = standbys.some(
-        ({heardAt, member}) =>
-          now - heardAt > STANDBY_SILENCE_MS ||
+        ({lastPromiseAt, member}) =>
+          now - lastPromiseAt > STANDBY_SILENCE_MS ||
           !candidates.some(({name}) => name === member.name),
       );
       const possible = Math.min(STANDBYS, candidates.length);
       return silent || standbys.length < possible;
     },
-    async own() {
+    async takeOwnership() {
       if (!held || held.right.isLost) return false;
       if (held.right.isOwned) return true;
       const {view, right} = held;
--- a/src/instance/limits/owner_limits.test.ts
+++ b/src/instance/limits/owner_limits.test.ts
@@ -1,4 +1,4 @@
-/** One owner for each account, found by rank, asked by the others. */
+/** Tests of limits with one owner for each account, found by rank. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createMetrics} from '../../common/metrics.js';
@@ -9,7 +9,7 @@
 const NAMES = ['entry-1', 'entry-2', 'entry-3', 'entry-4'];
 const ACCOUNT = {name: 'gate', ratePerS: 10, burst: 10};
 
-/** A fleet with one view; `cut` instances neither ask nor answer. */
+/** Creates a fleet with one view; calls from and to `cut` instances fail. */
 function createFleet() {
   const clock = createVirtualClock();
   const cut = new Set<string>();
@@ -30,7 +30,7 @@
       peers: {
         async take(address, input) {
           asked.push(address);
-          if (cut.has(address) || cut.has(name)) throw new Error('no answer');
+          if (cut.has(address) || cut.has(name)) throw new Error('no response');
           return fleet.get(address)!.procedures.take(input);
         },
         refund: (address, account) =>
@@ -43,22 +43,22 @@
   return {clock, cut, asked, fleet};
 }
 
-async function countGranted(limits: OwnerLimits[], tries: number) {
+async function countGranted(limits: OwnerLimits[], attempts: number) {
   let granted = 0;
-  for (let index = 0; index < tries; index++) {
+  for (let index = 0; index < attempts; index++) {
     const decision = await limits[index % limits.length].acquire(ACCOUNT);
     if (decision.kind === 'granted') granted++;
   }
   return granted;
 }
 
-describe('rate and burst by one owner', () => {
-  it('count requests through all instances together', async () => {
+describe('limits by one owner for each account', () => {
+  it('counts requests of all instances together', async () => {
     const {fleet} = createFleet();
     assert.equal(await countGranted([...fleet.values()], 100), ACCOUNT.burst);
   });
 
-  it('refuse with the time of the next token', async () => {
+  it('refuses with the time until the next token', async () => {
     const {fleet, clock} = createFleet();
     const [limits] = fleet.values();
     await countGranted([limits], ACCOUNT.burst);
@@ -70,7 +70,7 @@
     assert.equal((await limits.acquire(ACCOUNT)).kind, 'granted');
   });
 
-  it('give back what did not run', async () => {
+  it('refunds the tokens of requests that did not run', async () => {
     const {fleet} = createFleet();
     const limits = [...fleet.values()];
     for (const each of limits) {
@@ -80,17 +80,18 @@
     assert.equal(await countGranted(limits, 100), ACCOUNT.burst);
   });
 
-  it('let an account without a limit through', async () => {
+  it('grants every request of an account without a limit', async () => {
     const {fleet} = createFleet();
     const [limits] = fleet.values();
     const free = {...ACCOUNT, ratePerS: 0};
     assert.equal((await limits.acquire(free)).kind, 'granted');
   });
 
-  it('leave a share to instances that cannot reach the owner', async () => {
-    // Callers of an instance that is cut off would be refused although they
-    // are inside their rate, or let through without bound. Each such instance
-    // has its part of rate and burst, and does not ask the owner every time.
+  it('grants a share of the rate on instances that cannot reach the owner', async () => {
+    // Without a share, an instance that is cut off from the owner would refuse
+    // requests within the rate, or grant them without bound. Each such instance
+    // uses its own share of rate and burst, and does not ask the owner every
+    // time.
     const {fleet, cut, asked, clock} = createFleet();
     await [...fleet.values()][0].acquire(ACCOUNT);
     const [owner] = asked.length > 0 ? asked : ['entry-1'];
--- a/src/instance/limits/owner_limits.ts
+++ b/src/instance/limits/owner_limits.ts
@@ -1,7 +1,8 @@
 /**
- * Rate and burst of each account over the fleet, by one owner for each account:
- * the live instance that ranks first for its name. Nothing of it is stored;
- * decisions/rate_share.ts says why that stays within the agreed excess.
+ * Limits the rate and burst of each account over the fleet by one owner for each
+ * account, which is the live instance that ranks first for the account's name.
+ * Nothing is stored; decisions/rate_share.ts explains why the excess stays
+ * within the agreed bound.
  */
 import * as z from 'zod';
 import type {Clock} from '../../common/clock.js';
@@ -31,7 +32,7 @@
 type TakeInput = z.infer<typeof takeSchema>;
 type TakeAnswer = z.infer<typeof takeAnswerSchema>;
 
-/** Whether a request is inside its account's rate. */
+/** Whether a request is within its account's rate. */
 export type AllowanceDecision =
   | {kind: 'granted'; refund: () => void}
   | {kind: 'refused'; retryAfterMs: number};
@@ -47,14 +48,14 @@
 /** The limits as seen from this instance. */
 export interface OwnerLimits extends StateSource {
   acquire(account: BoundedAccount): Promise<AllowanceDecision>;
-  /** What peers call. */
+  /** Procedures that peers call. */
   procedures: {
     take(input: TakeInput): TakeAnswer;
     refund(input: z.infer<typeof refundSchema>): void;
   };
 }
 
-/** How owners on other instances are reached. */
+/** Calls to owners on other instances. */
 export interface OwnerPeers {
   take(
     address: string,
@@ -64,19 +65,19 @@
   refund(address: string, account: string): void;
 }
 
-/** What the limits work with. */
+/** Dependencies of the limits. */
 export interface OwnerLimitsDependencies {
   clock: Clock;
   metrics: Metrics;
   members: Pick<Members, 'self' | 'listLive' | 'subscribe'>;
-  /** Entry instances that are registered, live or not. */
+  /** Number of registered entry instances, live or not. */
   countKnown: () => number;
   peers: OwnerPeers;
-  /** Limits in force here; an owner's own view goes before the asker's. */
+  /** Limits active here; those of the owner override those in the message. */
   findLimits: (account: string) => ShareLimits | undefined;
 }
 
-/** Procedures that other instances call on this one's limits. */
+/** Builds the procedures that other instances call on this instance's limits. */
 export function buildOwnerLimitsRouter({procedures}: OwnerLimits) {
   return buildPeerRouterOf({
     take: peerProcedure
@@ -89,7 +90,7 @@
   });
 }
 
-/** Starts without buckets. */
+/** Creates limits without buckets. */
 export function createOwnerLimits({
   clock,
   metrics,
@@ -99,7 +100,7 @@
   findLimits,
 }: OwnerLimitsDependencies): OwnerLimits {
   const owned = new Map<string, ShareBucket>();
-  const alone = new Map<string, ShareBucket>();
+  const fallbackBuckets = new Map<string, ShareBucket>();
   const silentUntil = new Map<string, number>();
   let viewSince = clock.now();
   members.subscribe(() => {
@@ -117,7 +118,7 @@
     return held;
   }
 
-  /** Of the known instances, the part that this one sees. */
+  /** The fraction of the known instances that this instance sees as live. */
   function computeOwnedShare(): number {
     const live = members.listLive().length;
     return Math.min(1, live / Math.max(1, countKnown()));
@@ -131,8 +132,8 @@
     return {retryAfterMs: bucket.take(limits, share, viewSince, clock.now())};
   }
 
-  function takeAlone(input: TakeInput): TakeAnswer {
-    const bucket = getBucket(alone, input.account);
+  function takeFromOwnShare(input: TakeInput): TakeAnswer {
+    const bucket = getBucket(fallbackBuckets, input.account);
     const share = 1 / Math.max(1, countKnown());
     return {retryAfterMs: bucket.take(input, share, clock.now(), clock.now())};
   }
@@ -145,7 +146,7 @@
     try {
       return await peers.take(address, input, OWNER_TIMEOUT_MS);
     } catch {
-      // Counted as a decision taken alone.
+      // The caller decides from its own share, which is counted as `alone`.
       silentUntil.set(address, clock.now() + OWNER_COOLDOWN_MS);
       return undefined;
     }
@@ -177,8 +178,8 @@
         const refund = () => peers.refund(owner.address, account);
         return decide(answer, 'remote', refund);
       }
-      const refund = () => getBucket(alone, account).refund();
-      return decide(takeAlone(input), 'alone', refund);
+      const refund = () => getBucket(fallbackBuckets, account).refund();
+      return decide(takeFromOwnShare(input), 'alone', refund);
     },
     procedures: {
       take,
@@ -186,7 +187,7 @@
     },
     describeState: () => ({
       owned: [...owned.keys()],
-      alone: [...alone.keys()],
+      alone: [...fallbackBuckets.keys()],
     }),
   };
 }
--- a/src/instance/limits/rate_client.ts
+++ b/src/instance/limits/rate_client.ts
@@ -1,6 +1,6 @@
 /**
- * This instance as a member: its requests draw tokens from the holder of their
- * account's bucket, wherever that is now.
+ * Draws tokens for the requests of this instance from the current holder of
+ * their account's bucket, and finds that holder.
  */
 import type {Clock} from '../../common/clock.js';
 import {chooseByRendezvous} from '../../decisions/instance_ranking.js';
@@ -17,7 +17,7 @@
 import type {DrawReply, SettleInput} from './limit_messages.js';
 import type {LimitPeers} from './limit_peers.js';
 
-/** How a request's wait for a token ended. */
+/** Outcome of a request's wait for a token. */
 export type RateOutcome =
   | {kind: 'granted'}
   | {kind: 'refused'; retryAfterMs: number; reason: RateRefusal};
@@ -25,7 +25,7 @@
 /** Draws tokens for this instance's requests. */
 export interface RateClient {
   acquire(bucket: string, limits: BucketLimits): Promise<RateOutcome>;
-  /** Drops what is kept of buckets that have been idle. */
+  /** Removes the state of buckets that have been idle. */
   expire(now: number): void;
   describe(): object;
 }
@@ -33,7 +33,7 @@
 interface BucketState {
   machine: RateMember;
   limits: BucketLimits;
-  /** Where to ask, the likely holder first. */
+  /** Addresses to ask, the likely holder first. */
   route: string[];
   pending: Map<number, (outcome: RateOutcome) => void>;
   cancelTimer: () => void;
@@ -42,10 +42,10 @@
 
 type SettledGrant = SettleInput['grants'][number];
 
-/** What is kept of a bucket's holder while it is not used, in ms. */
+/** Time in ms for which the state of an unused bucket is retained. */
 const IDLE_LIFETIME_MS = 600_000;
 
-/** Starts knowing no holder. */
+/** Creates a client that does not know any holder yet. */
 export function createRateClient(
   clock: Clock,
   members: Members,
@@ -53,7 +53,7 @@
 ): RateClient {
   const states = new Map<string, BucketState>();
   const settled = new Map<string, SettledGrant[]>();
-  /** Grants by the number the machine knows; holders number their own. */
+  /** Sources of grants by the client's own number; holders' numbers may clash. */
   const sources = new Map<number, {address: string; run: string; id: number}>();
   let lastGrant = 0;
   let lastId = 0;
@@ -112,7 +112,8 @@
     state.cancelTimer();
     const next = state.machine.peekNext();
     if (next === undefined) return;
-    // A timer that fires a rounding error early would be set again for ever.
+    // Rounds up: a timer that fires early by a rounding error would be set again
+    // and again.
     const delayMs = Math.max(1, Math.ceil(next - clock.now()));
     state.cancelTimer = clock.schedule(delayMs, () =>
       handleActions(bucket, state, state.machine.decide(clock.now())),
@@ -135,7 +136,7 @@
     held.push({bucket, run, grantId: id, unspent});
   }
 
-  /** Lost on the way, the grants count as unspent until they expire. */
+  /** Sends finished grants; if the message is lost, they end when they expire. */
   function sendSettled(address: string) {
     const grants = (settled.get(address) ?? []).slice(0, 256);
     settled.delete(address);
@@ -152,7 +153,7 @@
     );
   }
 
-  /** Tries the likely holder, then where that points to, then its successors. */
+  /** Asks the likely holder, then the addresses it names, then its successors. */
   async function fetchTokens(
     bucket: string,
     state: BucketState,
@@ -187,7 +188,7 @@
     return {answer, askedAt: clock.now()};
   }
 
-  /** Who did not answer is asked last next time. */
+  /** Moves the first address to the end, as it did not grant. */
   function orderRoute(route: string[]): string[] {
     return route.length > 1 ? [...route.slice(1), route[0]] : [];
   }
--- a/src/instance/limits/standby.ts
+++ b/src/instance/limits/standby.ts
@@ -1,6 +1,6 @@
 /**
- * This instance as a standby: it promises holders not to take over, votes, and
- * remembers which buckets it would take over.
+ * The standby role of this instance: it promises holders not to take over,
+ * votes, and records which buckets it would take over.
  */
 import {
   createStandbyVote,
@@ -15,35 +15,36 @@
 } from './limit_messages.js';
 
 /**
- * Records kept. One without a vote may be dropped: that costs speed after a
- * loss. One with a vote never is, or a late renewal would be promised anew.
+ * Number of records above which the oldest one without a vote is dropped, which
+ * only makes a takeover slower. A record with a vote is never dropped, because
+ * a late renewal would then get a new promise.
  */
 const MAX_RECORDS = 2000;
 
-/** What a standby knows of one view. */
+/** A standby's record of one view. */
 export interface StandbyRecord {
   view: RateView;
   vote: StandbyVote;
   sequence: number;
-  /** Tokens set aside here for each bucket. */
+  /** Tokens reserved for this standby, by bucket. */
   buckets: Map<string, number>;
 }
 
-/** The standby's part of limits. */
+/** The operations of a standby. */
 export interface Standby {
   renew(input: RenewInput, now: number): RenewReply;
   vote(input: VoteInput, now: number): VoteReply;
   find(run: string): StandbyRecord | undefined;
-  /** Records that have this bucket, the newest view first. */
+  /** Lists the records that contain this bucket, the newest view first. */
   listByBucket(bucket: string): StandbyRecord[];
-  /** Takes in a view whose holder hands it over. */
+  /** Returns the record of a view, and adds one if there is none. */
   add(view: RateView): StandbyRecord;
-  /** Forgets everything: this instance lost its lease. */
+  /** Drops all records; called when this instance has lost its lease. */
   clear(): void;
   describe(now: number): object;
 }
 
-/** `isSelf` tells whether an incarnation is one of this process. */
+/** `isSelf` tells whether an incarnation is the current one of this process. */
 export function createStandby(
   isSelf: (incarnation: string) => boolean,
 ): Standby {
@@ -78,7 +79,7 @@
       if (!isSelf(to)) return {kind: 'unknown'};
       const record = findOrAdd(view);
       if (record.vote.renew(now).kind === 'sealed') return {kind: 'sealed'};
-      // A message that arrives late must not bring back an older reserve.
+      // A message that arrives late must not restore an older reserve.
       const applied = sequence > record.sequence;
       if (applied) applyChanges(record, sequence, changes);
       return {kind: 'promised', applied};
--- a/src/instance/limits/store_outage.ts
+++ b/src/instance/limits/store_outage.ts
@@ -1,29 +1,36 @@
 /**
- * Whether the platform's store is down for the fleet, or only for this
- * instance.
+ * Tells whether the platform's store is down for the whole fleet, or only for
+ * this instance.
  *
- * Failure it answers: a holder and its standbys are cut off from the store
- * together, go on by each other's promises, and an instance outside takes their
- * buckets over in the table. Symptom: an account is given twice its rate. A
- * holder goes on without a table lease only while the witnesses of more than
- * half of all failure domains say that they cannot reach the store and none
- * says that it can; whoever takes over in the table must see more than half
- * that can. Both would need one domain's witnesses to contradict each other
- * over the length of a lease.
+ * Without this distinction, a holder and its standbys that are cut off from the
+ * store together would continue on each other's promises, while another
+ * instance takes over their buckets in the table. An account would then get
+ * twice its rate.
+ *
+ * Therefore a holder continues without a table lease only while the witnesses
+ * of more than half of all failure domains report that they cannot reach the
+ * store, and none reports that it can. An instance that takes over in the table
+ * must see more than half of the domains reach the store. Both can hold at once
+ * only if the witnesses of one domain contradict each other for the length of a
+ * lease.
  */
 import type {WitnessReport} from '../members/members.js';
 
-/** Reports older than this say nothing; witnesses are asked every 2 s then. */
+/** Age in ms after which a report is ignored; witnesses are asked every 2 s. */
 export const REPORT_LIFETIME_MS = 6000;
 
-/** What the failure domains report. */
+/** Number of failure domains, and how many of them report each state. */
 export interface StoreReports {
   domains: number;
   reachable: number;
   unreachable: number;
 }
 
-/** This instance's own domain counts as it sees the store itself. */
+/**
+ * Counts the reports by failure domain. A domain counts as reachable when at
+ * least one of its witnesses, or this instance for its own domain, reaches the
+ * store.
+ */
 export function countStoreReports(
   reports: readonly WitnessReport[],
   domains: ReadonlySet<string>,
@@ -46,12 +53,12 @@
   };
 }
 
-/** Down for all: a holder may go on without its table lease. */
+/** Whether a holder may continue without its table lease. */
 export function isStoreDownForAll(reports: StoreReports): boolean {
   return reports.reachable === 0 && reports.unreachable * 2 > reports.domains;
 }
 
-/** Up for most: nobody elsewhere can believe it down for all. */
+/** Whether no other instance can regard the store as down for all. */
 export function isStoreUpForMost(reports: StoreReports): boolean {
   return reports.reachable * 2 > reports.domains;
 }
--- a/src/instance/limits/takeovers.ts
+++ b/src/instance/limits/takeovers.ts
@@ -1,6 +1,6 @@
 /**
- * This instance as the heir of other holders: it is elected in their views, or
- * handed them, and keeps what it inherits until somebody asks for it.
+ * Takes over the views of other holders, by election or by handover, and stores
+ * the inherited buckets until they are first requested.
  */
 import type {Counter} from 'prom-client';
 import type {Clock} from '../../common/clock.js';
@@ -22,23 +22,26 @@
 import type {LimitPeers} from './limit_peers.js';
 import type {Standby, StandbyRecord} from './standby.js';
 
-/** A bucket that came with a view. */
-export interface Inheritance {
+/** A bucket of a view that was taken over. */
+export interface InheritedBucket {
   view: HeldView;
   level: BucketLevel;
 }
 
-/** Views taken over. */
+/** The views that this instance has taken over. */
 export interface Takeovers {
-  /** Undefined when done, or when this record leads nowhere. */
+  /**
+   * Tries to take over a view. Returns undefined when that succeeded or cannot
+   * succeed, otherwise the reply to a draw.
+   */
   takeOver(record: StandbyRecord): Promise<DrawReply | undefined>;
-  /** Takes what a holder hands over; returns whether it did. */
+  /** Accepts a view that its holder hands over; returns whether it did. */
   receive(input: HandOverInput): boolean;
-  findInheritance(bucket: string): Inheritance | undefined;
-  removeInheritance(bucket: string): void;
+  findInherited(bucket: string): InheritedBucket | undefined;
+  removeInherited(bucket: string): void;
   findView(run: string): HeldView | undefined;
-  countInheritances(): number;
-  /** The lease was lost: none of it may be used any more. */
+  countInherited(): number;
+  /** Drops everything; called when this instance has lost its lease. */
   clear(): void;
 }
 
@@ -52,9 +55,9 @@
   isHeld(bucket: string): boolean;
 }
 
-type Obtained = DrawReply | undefined;
+type AcquireResult = DrawReply | undefined;
 
-/** Starts with none. */
+/** Creates takeovers without any view. */
 export function createTakeovers({
   clock,
   peers,
@@ -64,11 +67,10 @@
   isLive,
   isHeld,
 }: Dependencies): Takeovers {
-  const inherited = new Map<string, Inheritance>();
+  const inherited = new Map<string, InheritedBucket>();
   const adoptedRuns = new Map<string, HeldView>();
 
-  /** Undefined when done, or when this record leads nowhere. */
-  async function takeOver(record: StandbyRecord): Promise<Obtained> {
+  async function takeOver(record: StandbyRecord): Promise<AcquireResult> {
     const {view, vote} = record;
     const self = view.members.find(({incarnation}) => isSelf(incarnation))!;
     if (adoptedRuns.has(view.run)) return undefined;
@@ -79,14 +81,14 @@
   }
 
   /**
-   * The first standby votes for itself before it asks; the second asks first,
-   * and follows the first if that has voted: two candidates never block each
-   * other.
+   * Runs an election in a view. The first standby votes for itself before it
+   * asks the other; the second asks first and votes like the first if that has
+   * voted. This way two candidates never block each other.
    */
   async function runElection(
     record: StandbyRecord,
     self: ViewMember,
-  ): Promise<Obtained> {
+  ): Promise<AcquireResult> {
     const {view, vote} = record;
     const other = view.members
       .slice(1)
@@ -96,10 +98,10 @@
     if (isFirst) vote.vote(self.incarnation, clock.now());
     if (other) {
       const answer = await fetchVote(view, other, self.incarnation);
-      // The lease was lost meanwhile, and with it the right to vote.
+      // The lease was lost in the meantime, and with it the right to vote.
       if (!isSelf(self.incarnation)) return buildUnavailable(RETRY_MS);
       if (answer.kind === 'wait') return buildUnavailable(answer.retryAfterMs);
-      // With the other standby lost as well only the table can decide.
+      // If the other standby is lost as well, only the table can decide.
       if (answer.kind === 'unknown') {
         return isLive(other) ? buildUnavailable(RETRY_MS) : undefined;
       }
@@ -130,7 +132,7 @@
     }
   }
 
-  /** Every bucket of the view is this instance's from now on. */
+  /** Makes this instance the holder of every bucket of the view. */
   function registerView(
     record: StandbyRecord,
     levels: Map<string, BucketLevel>,
@@ -168,10 +170,10 @@
       counter.inc({way: 'handover'});
       return true;
     },
-    findInheritance: bucket => inherited.get(bucket),
-    removeInheritance: bucket => void inherited.delete(bucket),
+    findInherited: bucket => inherited.get(bucket),
+    removeInherited: bucket => void inherited.delete(bucket),
     findView: run => adoptedRuns.get(run),
-    countInheritances: () => inherited.size,
+    countInherited: () => inherited.size,
     clear() {
       for (const {right} of adoptedRuns.values()) right.noteLost();
       adoptedRuns.clear();
--- a/src/instance/limits/view_upkeep.ts
+++ b/src/instance/limits/view_maintenance.ts
@@ -1,6 +1,7 @@
 /**
- * The regular work on what this instance holds: promises, reserves, a new view
- * when a standby is lost, and the move of buckets to it.
+ * Periodic maintenance of the view and buckets that this instance holds. It
+ * renews promises, sets reserves, replaces the view when a standby is lost, and
+ * moves buckets to the new view.
  */
 import type {Clock} from '../../common/clock.js';
 import type {BucketTable} from './bucket_table.js';
@@ -8,10 +9,10 @@
 import type {HeldBucket, HeldBuckets, HeldView} from './held_buckets.js';
 import type {OwnView} from './own_view.js';
 
-/** Keeps views and buckets up. */
-export interface ViewUpkeep {
+/** Maintains the view and the buckets of a holder. */
+export interface ViewMaintenance {
   runRound(): Promise<void>;
-  /** Buckets that the present view holds. */
+  /** Lists the buckets of the current view. */
   listOwn(): HeldBucket[];
 }
 
@@ -23,14 +24,14 @@
   isStoreUp(): boolean;
 }
 
-/** For the buckets of one holder. */
-export function createViewUpkeep({
+/** Creates the maintenance of one holder's buckets. */
+export function createViewMaintenance({
   clock,
   table,
   buckets,
   ownView,
   isStoreUp,
-}: Dependencies): ViewUpkeep {
+}: Dependencies): ViewMaintenance {
   function removeLostView() {
     const own = ownView.get();
     if (!own?.right.isLost) return;
@@ -42,8 +43,8 @@
     const own = ownView.get();
     if (!own || own.view.members.length === 1) return;
     const now = clock.now();
-    for (const {ledger, lowering, views} of buckets.list()) {
-      if (lowering || views[0].view.run !== own.view.run) continue;
+    for (const {ledger, isReleasingReserve, views} of buckets.list()) {
+      if (isReleasingReserve || views[0].view.run !== own.view.run) continue;
       const {tokens} = ledger.readLevel(now);
       const target = Math.floor(tokens * RESERVE_SHARE);
       if (target > ledger.reserved)
@@ -53,14 +54,15 @@
 
   async function replaceView() {
     if (!isStoreUp()) return;
-    if (ownView.isOutdated() && (await ownView.own())) ownView.clear();
+    if (ownView.isOutdated() && (await ownView.takeOwnership()))
+      ownView.clear();
     const isNeeded = buckets.list().length > 0;
     if (!ownView.get() && isNeeded) await ownView.create();
   }
 
   /**
-   * While the write that moves a bucket is unclear, either view may be in the
-   * table: the bucket then needs the right of both.
+   * Moves a bucket to a view. Until the outcome of the write is known, either
+   * view may be in the table, so that the bucket needs the right of both.
    */
   async function placeBucket(bucket: HeldBucket, to: HeldView) {
     const row = await table.find(bucket.id);
