--- a/src/instance/quarantine/crash_rows.ts
+++ b/src/instance/quarantine/crash_rows.ts
@@ -1,11 +1,11 @@
-/** Rows that crashes are kept in, one for each run that was lost. */
+/** Rows in which crashes are stored, one for each run that was lost. */
 import murmurhash from 'murmurhash';
 import * as z from 'zod';
 import type {CrashRecord} from '../../decisions/crash_suspects.js';
 import {buildPartition} from '../../stores/collections.js';
 import type {Row, RowKey} from '../../stores/table_store.js';
 
-/** Collection of the rows, which all instances follow. */
+/** Collection of the rows, which all instances watch. */
 export const CRASHES = 'crashes';
 
 const crashFieldsSchema = z.strictObject({
@@ -15,7 +15,7 @@
   hadAnswer: z.boolean(),
 }) satisfies z.ZodType<CrashRecord>;
 
-/** Key of a record's row; those of one content lie in one of the `shards`. */
+/** Builds the key of a record's row; all rows of one content share a shard. */
 export function buildCrashKey(record: CrashRecord, shards: number): RowKey {
   const {content, endpoint, endedAt} = record;
   const shard = String(murmurhash.v3(content) % shards);
@@ -25,7 +25,7 @@
   };
 }
 
-/** Undefined for a row that no instance wrote. */
+/** Decodes a row; undefined when its fields are not those of a crash record. */
 export function decodeCrashRow(row: Row): CrashRecord | undefined {
   return crashFieldsSchema.safeParse(row.fields).data;
 }
--- a/src/instance/quarantine/crash_store.test.ts
+++ b/src/instance/quarantine/crash_store.test.ts
@@ -14,7 +14,7 @@
   hadAnswer: false,
 };
 
-/** Two instances' views of one table; `outage` keeps the first from writing. */
+/** Creates 2 instances' stores on one table; `outage` makes writes of `one` fail. */
 function createViews() {
   const watch = createMemoryWatch(createMemoryPlatform().table);
   const outage = {isOn: false};
@@ -42,7 +42,7 @@
 }
 
 describe('crash records', () => {
-  it('are known here at once, and elsewhere when they are written', async () => {
+  it('are visible here at once, and elsewhere once they are written', async () => {
     const {one, other, createView} = createViews();
     one.add(RECORD);
     assert.deepEqual(one.list(), [RECORD]);
@@ -51,7 +51,7 @@
     assert.deepEqual(createView().list(), [RECORD]);
   });
 
-  it('wait for a store that is away', async () => {
+  it('are written after an outage of the store', async () => {
     const {one, other, outage} = createViews();
     outage.isOn = true;
     one.add(RECORD);
@@ -62,7 +62,7 @@
     assert.deepEqual(other.list(), [RECORD]);
   });
 
-  it('are removed by whoever knows better, and stay so', async () => {
+  it('stay removed when several instances remove them', async () => {
     const {one, other} = createViews();
     one.add(RECORD);
     await one.flush();
@@ -74,7 +74,7 @@
     assert.deepEqual(other.describeState(), {stored: 0, pending: 0});
   });
 
-  it('are not written after they were removed', async () => {
+  it('are not written when they were removed before', async () => {
     const {one, other, outage} = createViews();
     outage.isOn = true;
     one.add(RECORD);
--- a/src/instance/quarantine/crash_store.ts
+++ b/src/instance/quarantine/crash_store.ts
@@ -1,7 +1,7 @@
 /**
- * The crash records of the fleet: those of the store, and those of this instance
- * that the store has not taken yet. All instances follow the rows, so that one
- * that starts, or takes work over, knows what the others have seen.
+ * The crash records of the fleet: those in the store, and those of this instance
+ * that are not written yet. All instances watch the rows, so that an instance
+ * that starts, or takes over work, knows the crashes that the others have seen.
  */
 import type {Log} from '../../common/log.js';
 import {groupBy} from '../../common/collections.js';
@@ -21,42 +21,42 @@
 } from './constants.js';
 import {buildCrashKey, CRASHES, decodeCrashRow} from './crash_rows.js';
 
-/** Records by which contents are judged. */
+/** The records by which contents are quarantined. */
 export interface CrashStore {
-  /** Whether the records of the fleet have been read at all. */
+  /** Whether the records of the fleet have been read. */
   isKnown(): boolean;
   list(): CrashRecord[];
   find(content: string): readonly CrashRecord[];
-  /** In force here at once, and elsewhere once the store has it. */
+  /** Adds a record, here at once and on other instances once it is written. */
   add(record: CrashRecord): void;
-  /** Forgets records here at once, and elsewhere once the store has it. */
+  /** Removes records, here at once and on other instances once it is written. */
   remove(records: readonly CrashRecord[]): void;
-  /** Writes what the store has not taken yet; it is kept on a failure. */
+  /** Writes pending changes; those that fail stay pending. */
   flush(): Promise<void>;
   describeState(): object;
   stop(): void;
 }
 
-/** What the store works with. */
+/** Dependencies of the store. */
 export interface CrashStoreDependencies {
   log: Log;
   table: TableStore;
   watch: CollectionWatch;
-  /** Shards that the rows are spread over. */
+  /** Number of shards of the rows. */
   shards: number;
-  /** Told after each change. */
+  /** Called after each change. */
   onChange: () => void;
 }
 
-/** A change that the store has not shown yet. */
+/** A change that the store's feed has not confirmed yet. */
 interface Pending {
   record: CrashRecord;
   kind: 'put' | 'delete';
-  /** Whether it took the change; its feed will show it. */
+  /** Whether the change is written, so that the feed will confirm it. */
   isWritten: boolean;
 }
 
-/** Follows the rows from now on. */
+/** Creates a store, which starts to watch the rows. */
 export function createCrashStore({
   log,
   table,
@@ -75,7 +75,7 @@
     const own = pending.get(name);
     if (!record) {
       stored.delete(name);
-      // What others cleared since this instance wrote it is cleared.
+      // Another instance has removed the record since this one wrote it.
       if (own && (own.kind === 'delete' || own.isWritten)) pending.delete(name);
       return;
     }
@@ -110,7 +110,7 @@
     return groupBy(known.values(), ({content}) => content);
   }
 
-  /** Worked out once for each change: every answer is looked up. */
+  /** Returns the index, which is cached because every answer looks it up. */
   function findIndex(): ReadonlyMap<string, readonly CrashRecord[]> {
     index ??= buildIndex();
     return index;
@@ -125,7 +125,10 @@
     if (pending.size >= MAX_PENDING_RECORDS) {
       const [oldest] = pending.keys();
       pending.delete(oldest);
-      log.warn({row: oldest}, 'crash record dropped: too many wait');
+      log.warn(
+        {row: oldest},
+        'crash record dropped: too many records wait to be written',
+      );
     }
     const name = formatKey(buildCrashKey(record, shards));
     pending.set(name, {record, kind, isWritten: false});
@@ -134,7 +137,7 @@
   function toOperation({record, kind}: Pending): WriteOperation {
     const key = buildCrashKey(record, shards);
     const fields: Fields = {...record};
-    // Rows are written once, so that each has the first version.
+    // Rows are never updated, so each has version 1.
     return kind === 'put'
       ? {kind, key, fields, condition: {kind: 'absent'}}
       : {kind, key, condition: {kind: 'version', version: 1}};
@@ -144,10 +147,10 @@
     try {
       const outcome = await table.transact(batch.map(toOperation));
       if (outcome.kind === 'committed') {
-        for (const each of batch) each.isWritten = true;
+        for (const entry of batch) entry.isWritten = true;
         return;
       }
-      // Its row is there, or gone, already: as it should be.
+      // The row already exists, or is already deleted, as intended.
       const {record} = batch[outcome.index];
       pending.delete(formatKey(buildCrashKey(record, shards)));
     } catch (error) {
--- a/src/instance/quarantine/crash_watch.ts
+++ b/src/instance/quarantine/crash_watch.ts
@@ -1,34 +1,33 @@
 /**
- * Tells which of the connections that runs lost were lost because their endpoint
- * ended. Each such end is logged with the request that ran there.
+ * Checks for each run that lost its connection whether its endpoint's process
+ * has ended. If so, this is logged with the request that was running.
  */
 import type {Log} from '../../common/log.js';
 import type {Metrics} from '../../common/metrics.js';
 import type {ConnectionLoss} from '../gateway/slot_run.js';
 import {checkEnded} from './endpoint_check.js';
 
-/** A run that its endpoint's end cut off. */
-export interface CrashedRun extends ConnectionLoss {
+/** A run that lost its connection to the endpoint. */
+export interface LostRun extends ConnectionLoss {
   requestId: string;
-  /** Names what was asked for; see computeContentId. */
+  /** Identifies the request's content; see computeContentId. */
   content: string;
 }
 
-/** Takes in lost connections. */
+/** Receives lost connections. */
 export interface CrashWatch {
-  /** Looks whether the endpoint has ended; never throws, and nobody need wait. */
-  noteLoss(run: CrashedRun): Promise<void>;
+  /** Checks whether the endpoint has ended; never rejects, needs no await. */
+  noteLoss(run: LostRun): Promise<void>;
 }
 
-/** What the watch works with. */
+/** Dependencies of the watch. */
 export interface CrashWatchDependencies {
   log: Log;
   metrics: Metrics;
-  /** Told of each run that an endpoint's end cut off. */
-  onCrash?: (run: CrashedRun) => void;
+  /** Called for each run whose endpoint has ended. */
+  onCrash?: (run: LostRun) => void;
 }
 
-/** Starts idle. */
 export function createCrashWatch({
   log,
   metrics,
@@ -48,7 +47,7 @@
       if (!isEnded) return;
       log.info(
         {req: requestId, content, endpoint: endpoint.name, hadAnswer},
-        'endpoint ended under a request',
+        'endpoint process ended while running a request',
       );
       onCrash(run);
     },
--- a/src/instance/quarantine/endpoint_check.ts
+++ b/src/instance/quarantine/endpoint_check.ts
@@ -1,12 +1,13 @@
-/** Whether an endpoint has ended, asked of its machine. */
+/** Checks whether the process of an endpoint has ended. */
 import {connect} from 'node:net';
 import {CONNECT_TIMEOUT_MS} from '../gateway/constants.js';
 
 const REFUSED_CODE = 'ECONNREFUSED';
 
 /**
- * True only where its machine says that nobody listens there. A lost packet, a
- * cut link or a machine that is gone says nothing of the process.
+ * Resolves to true only when the endpoint's host refuses the connection, because
+ * nothing listens on the port. A lost packet, a cut link or an unreachable host
+ * says nothing about the process.
  */
 export function checkEnded(address: string): Promise<boolean> {
   const [host, port] = address.split(':');
--- a/src/instance/quarantine/quarantine.ts
+++ b/src/instance/quarantine/quarantine.ts
@@ -1,7 +1,8 @@
 /**
- * Holds back requests under which endpoints end, whichever id they come under,
- * whichever instance they come to and whatever sends them: callers, bundles, or
- * an instance that takes a stream up again.
+ * Quarantines requests that make endpoints crash. It identifies them by content,
+ * so that neither the request id, nor the instance that receives the request,
+ * nor its source matters: a caller, a bundle, or an instance that resumes a
+ * stream.
  */
 import {LRUCache} from 'lru-cache';
 import type {Clock} from '../../common/clock.js';
@@ -19,51 +20,51 @@
 } from '../../decisions/crash_suspects.js';
 import type {CollectionWatch} from '../../stores/collections.js';
 import type {TableStore} from '../../stores/table_store.js';
-import {REMEMBERED_ANSWERS} from './constants.js';
+import {MAX_ANSWERED_CONTENTS} from './constants.js';
 import {createCrashStore} from './crash_store.js';
 import {
   createCrashWatch,
-  type CrashedRun,
+  type LostRun,
   type CrashWatch,
 } from './crash_watch.js';
 
-/** What holds contents back. */
+/** Quarantines contents. */
 export interface Quarantine extends StateSource {
-  /** Whether what the fleet has seen is known here. */
+  /** Whether the crash records of the fleet have been read. */
   isKnown(): boolean;
-  /** Throws RouterError (not-run) for a content that is held. */
+  /** Throws RouterError (not-run) for quarantined content. */
   checkHeld(content: string): void;
-  /** A run lost its connection. */
+  /** Checks a run that lost its connection for a crash. */
   noteLoss: CrashWatch['noteLoss'];
-  /** An endpoint ran it to an answer: it is not the cause of any crash. */
+  /** Records that an endpoint answered, so that the content caused no crash. */
   noteAnswered(content: string): void;
-  /** Writes what the store did not take, and drops what is too old. */
+  /** Writes pending records and removes expired ones. */
   keep(): Promise<void>;
   stop(): void;
 }
 
-/** What running requests ask of it and tell it. */
+/** The operations of the quarantine for requests that run. */
 export type ContentGuard = Pick<
   Quarantine,
   'checkHeld' | 'noteLoss' | 'noteAnswered'
 >;
 
-/** What the quarantine works with. */
+/** Dependencies of the quarantine. */
 export interface QuarantineDependencies {
   clock: Clock;
-  /** Read only: the time that crashes are noted by. */
+  /** Shared clock by which crashes are recorded; it is only read here. */
   time: Pick<SharedTime, 'read'>;
   log: Log;
   metrics: Metrics;
   table: TableStore;
   watch: CollectionWatch;
-  /** Shards that the records are spread over. */
+  /** Number of shards of the records. */
   shards: number;
-  /** Whether this instance is the one to drop what is too old. */
+  /** Whether this instance is the one that removes expired records. */
   isKeeper: () => boolean;
 }
 
-/** Follows the fleet's records from now on. */
+/** Creates a quarantine, which starts to watch the fleet's records. */
 export function createQuarantine({
   clock,
   time,
@@ -74,13 +75,13 @@
   shards,
   isKeeper,
 }: QuarantineDependencies): Quarantine {
-  /** When contents were last answered here, by the shared clock. */
-  const answeredAt = new LRUCache<string, number>({max: REMEMBERED_ANSWERS});
+  /** Time of the last answer to each content here, on the shared clock. */
+  const answeredAt = new LRUCache<string, number>({max: MAX_ANSWERED_CONTENTS});
   const refusals = metrics.createCounter(
     'requests_quarantined_total',
     'Runs refused because endpoints ended under the same content.',
   );
-  let held = new Map<string, HeldContent>();
+  let quarantined = new Map<string, HeldContent>();
   const store = createCrashStore({
     log,
     table,
@@ -90,7 +91,7 @@
   });
   const crashes = createCrashWatch({log, metrics, onCrash: noteCrash});
 
-  /** Before an answer of the store, no request is let in. */
+  /** Falls back to the local clock; no request is admitted before the store answers. */
   function readTime(): number {
     return time.read() ?? clock.now();
   }
@@ -104,29 +105,30 @@
       store.remove(cleared);
       return;
     }
-    const before = held;
+    const before = quarantined;
     const now = readTime();
-    held = decideHeld(records, now);
-    for (const [content, {crashes: count, until}] of held) {
+    quarantined = decideHeld(records, now);
+    for (const [content, {crashes: count, until}] of quarantined) {
       if (before.get(content)?.until === until) continue;
       const forMs = Math.round(until - now);
       log.warn(
         {content, crashes: count, forMs},
-        'content held: endpoints end under it',
+        'content quarantined: endpoints crashed while running it',
       );
     }
     for (const content of before.keys()) {
-      if (!held.has(content)) log.info({content}, 'content held no more');
+      if (!quarantined.has(content))
+        log.info({content}, 'content released from quarantine');
     }
   }
 
-  function noteCrash({content, endpoint, hadAnswer}: CrashedRun) {
+  function noteCrash({content, endpoint, hadAnswer}: LostRun) {
     const endedAt = readTime();
     const record = {content, endpoint: endpoint.name, endedAt, hadAnswer};
     if (!isCleared(record, answeredAt.get(content))) store.add(record);
   }
 
-  function listOld(now: number): CrashRecord[] {
+  function listExpired(now: number): CrashRecord[] {
     const records = store.list();
     const counting = new Set(selectCounting(records, now));
     return records.filter(record => !counting.has(record));
@@ -135,7 +137,7 @@
   return {
     isKnown: store.isKnown,
     checkHeld(content) {
-      const found = held.get(content);
+      const found = quarantined.get(content);
       if (!found) return;
       const retryAfterMs = found.until - readTime();
       if (retryAfterMs <= 0) return;
@@ -153,15 +155,15 @@
       if (own.length > 0) store.remove(own);
     },
     async keep() {
-      const old = listOld(readTime());
-      if (old.length > 0 && isKeeper()) store.remove(old);
+      const expired = listExpired(readTime());
+      if (expired.length > 0 && isKeeper()) store.remove(expired);
       await store.flush();
     },
     describeState() {
       const now = readTime();
-      const isHeld = ({until}: HeldContent) => until > now;
+      const isActive = ({until}: HeldContent) => until > now;
       return {
-        held: [...held.values()].filter(isHeld).length,
+        held: [...quarantined.values()].filter(isActive).length,
         ...store.describeState(),
       };
     },
