--- a/src/instance/execution/answer_progress.ts
+++ b/src/instance/execution/answer_progress.ts
@@ -1,64 +1,66 @@
 /**
- * How far the answer of a request has come over all its tries, and whether an
- * answer that begins anew goes on with it.
+ * Tracks how much of a request's answer has been forwarded over all attempts,
+ * and checks whether another run's answer can continue it.
  *
- * Failure it answers: an engine dies in the middle of a stream and another
- * runs the request again. Engines do not promise the same text twice, so
- * joining the second run to the first at an offset may give a mixture that no
- * run has produced. Symptom: a whole looking, wrong answer. Here the second run
- * must first repeat, chunk for chunk, what was already sent; then the whole
- * answer is the second run's own. When it differs, the answer ends in an error.
+ * When an engine fails in the middle of a stream, another engine runs the
+ * request again. Engines do not guarantee the same text twice, so that joining
+ * the second run to the first at an offset may give a mixture that no run has
+ * produced: an answer that looks complete but is wrong.
+ *
+ * Therefore the second run must first repeat, chunk by chunk, what was already
+ * sent, which makes the complete answer the second run's own. If the second run
+ * differs, the answer ends in an error.
  */
 import {RouterError} from '../../common/errors.js';
 import type {Verdict} from '../../common/verdict.js';
 import type {EndpointEvent} from '../endpoints/endpoint_adapter.js';
 import {MAX_REPLAY_BYTES} from './constants.js';
 
-/** `restart`: what came before it is void. Only whole answers get it. */
+/** `restart` voids all events before it; only collected answers get it. */
 export type ProgressEvent = EndpointEvent | {kind: 'restart'};
 
-/** What is known of a request that is being tried. */
+/** Progress of a request over its attempts. */
 export interface AnswerProgress {
   verdict: Verdict;
-  /** Endpoints that failed it. */
+  /** Endpoints on which the request failed. */
   avoid: string[];
-  /** Another try begins; what it repeats is not known before its head. */
-  startTry(): void;
-  /** Data events passed on so far. */
+  /** Starts another attempt; which chunks it repeats is unknown until its head. */
+  startAttempt(): void;
+  /** Number of data events forwarded so far. */
   countEvents(): number;
   hasHead(): boolean;
   /**
-   * Whether the run now being read has repeated all that was passed on: only
-   * then is its stream the one to resume.
+   * Whether the current run has repeated everything that was forwarded. Only
+   * then can its stream be resumed.
    */
   isAligned(): boolean;
-  /** Whether another endpoint's answer could go on with this one. */
+  /** Whether another endpoint's answer could continue this one. */
   canReplay(): boolean;
   /**
-   * Takes in an event of a try and returns what of it is new. Throws
-   * RouterError when it does not go on with what came before.
+   * Processes an event of an attempt. Returns it unless it repeats a forwarded
+   * one; throws RouterError when it does not continue the events before it.
    */
   note(event: EndpointEvent): ProgressEvent | undefined;
 }
 
-/** `streamed`: the consumer passes events on, so none can be taken back. */
+/** With `streamed` the consumer forwards events, so that none can be revoked. */
 export function createAnswerProgress(streamed: boolean): AnswerProgress {
   let head: {status: number} | undefined;
-  let passedOn = 0;
-  let replayed = 0;
-  let keptBytes = 0;
-  let kept: Buffer[] | undefined = streamed ? [] : undefined;
+  let forwardedCount = 0;
+  let replayedCount = 0;
+  let storedBytes = 0;
+  let storedPayloads: Buffer[] | undefined = streamed ? [] : undefined;
 
   function storePayload(payload: Buffer) {
-    keptBytes += payload.length;
-    if (keptBytes > MAX_REPLAY_BYTES) kept = undefined;
-    kept?.push(payload);
+    storedBytes += payload.length;
+    if (storedBytes > MAX_REPLAY_BYTES) storedPayloads = undefined;
+    storedPayloads?.push(payload);
   }
 
   function noteHead(
     event: Extract<EndpointEvent, {kind: 'head'}>,
   ): ProgressEvent | undefined {
-    replayed = event.resumedAt ?? 0;
+    replayedCount = event.resumedAt ?? 0;
     if (!head) {
       head = event;
       return event;
@@ -66,47 +68,48 @@
     if (event.status !== head.status) {
       throw failMismatch(`the second run has status ${event.status}`);
     }
-    if (streamed || replayed === passedOn) return undefined;
-    passedOn = 0;
+    if (streamed || replayedCount === forwardedCount) return undefined;
+    forwardedCount = 0;
     return {kind: 'restart'};
   }
 
   function noteData(
     event: Extract<EndpointEvent, {kind: 'data'}>,
   ): ProgressEvent | undefined {
-    if (event.offset >= passedOn) {
-      replayed++;
-      passedOn++;
+    if (event.offset >= forwardedCount) {
+      replayedCount++;
+      forwardedCount++;
       storePayload(event.payload);
       return event;
     }
-    if (!isSameChunk(kept?.[event.offset], event.payload)) {
+    if (!isSameChunk(storedPayloads?.[event.offset], event.payload)) {
       throw failMismatch('a second run gave another text');
     }
-    replayed++;
+    replayedCount++;
     return undefined;
   }
 
   return {
     verdict: 'not-run',
     avoid: [],
-    startTry() {
-      replayed = -1;
+    startAttempt() {
+      replayedCount = -1;
     },
-    countEvents: () => passedOn,
+    countEvents: () => forwardedCount,
     hasHead: () => head !== undefined,
-    isAligned: () => replayed === passedOn,
-    canReplay: () => !streamed || passedOn === 0 || kept !== undefined,
+    isAligned: () => replayedCount === forwardedCount,
+    canReplay: () =>
+      !streamed || forwardedCount === 0 || storedPayloads !== undefined,
     note(event) {
       if (event.kind === 'head') return noteHead(event);
       if (event.kind === 'data') return noteData(event);
-      if (replayed >= passedOn) return event;
+      if (replayedCount >= forwardedCount) return event;
       throw failMismatch('a second run ended earlier');
     },
   };
 }
 
-/** Chunks are the same when their choices are: ids and times may differ. */
+/** Compares the choices of two chunks only, because ids and times may differ. */
 function isSameChunk(a: Buffer | undefined, b: Buffer): boolean {
   if (a === undefined) return false;
   if (a.equals(b)) return true;
--- a/src/instance/execution/completions.ts
+++ b/src/instance/execution/completions.ts
@@ -1,4 +1,4 @@
-/** Puts the chunks of a streamed completion together into one whole answer. */
+/** Assembles the chunks of a streamed completion into one complete response. */
 import * as z from 'zod';
 
 const chunkSchema = z.looseObject({
@@ -18,7 +18,7 @@
 
 type Chunk = z.infer<typeof chunkSchema>;
 
-/** The shapes of a whole answer by path. */
+/** The shapes of a complete response, by path. */
 const ANSWER_SHAPES: Record<
   string,
   {object: string; buildChoice: (index: number, text: string) => object}
@@ -36,12 +36,12 @@
   },
 };
 
-/** Whether `path` is one whose answer is made of chunks. */
+/** Whether responses of `path` consist of chunks. */
 export function isCompletionPath(path: string): boolean {
   return path in ANSWER_SHAPES;
 }
 
-/** The whole answer of a completion; `payloads` are its chunks in order. */
+/** Builds the complete response of a completion from its chunks in order. */
 export function collectCompletion(
   path: string,
   payloads: readonly Buffer[],
--- a/src/instance/execution/constants.ts
+++ b/src/instance/execution/constants.ts
@@ -1,19 +1,20 @@
 /** Constants of execution. Times in ms, sizes in bytes. */
 
-/** Slots one request may be tried on; yielding to online work counts none. */
-export const MAX_TRIES = 3;
+/** Largest number of slots on which a request is attempted, not counting yields. */
+export const MAX_ATTEMPTS = 3;
 
-/** Tries on one slot: the first and one resumption on a new connection. */
-export const MAX_TRIES_ON_SLOT = 2;
+/** Attempts on one slot: the first, and one resumption on a new connection. */
+export const MAX_ATTEMPTS_PER_SLOT = 2;
 
-/** Open requests' keys are looked at this often: withdrawn ones end at once. */
+/** Interval at which keys of open requests are checked; withdrawn ones end them. */
 export const AUTHORIZE_INTERVAL_MS = 500;
 
 /**
- * What was sent of an answer is kept up to this size to compare a second run
- * with it; a longer answer that breaks off and cannot resume ends in an error.
+ * Size up to which the sent part of an answer is retained, to compare a second
+ * run with it. A longer answer that breaks off and cannot be resumed ends in an
+ * error.
  */
 export const MAX_REPLAY_BYTES = 256 * 1024;
 
-/** When the retry budget is spent, come back after this. */
+/** Retry delay for callers when the retry budget is spent. */
 export const BUDGET_RETRY_AFTER_MS = 2000;
--- a/src/instance/execution/execution.test.ts
+++ b/src/instance/execution/execution.test.ts
@@ -1,4 +1,4 @@
-/** Requests over endpoints that fail, with the slots they were given. */
+/** Tests of requests on failing endpoints, and of the slots they hold. */
 import assert from 'node:assert/strict';
 import {afterEach, beforeEach, describe, it} from 'node:test';
 import {createSystemClock} from '../../common/clock.js';
@@ -25,10 +25,10 @@
 const DOCUMENT = parseServiceDocument(ENGINE_DOCUMENT, 'test');
 
 /**
- * For calls that meet silence only: on a busy machine any other answer may be
- * slow, and would be taken for a silent one.
+ * Service with short timeouts, for calls to silent endpoints only. On a busy
+ * machine other responses may be slow and would exceed these timeouts.
  */
-const IMPATIENT_SERVICE = {
+const SHORT_TIMEOUT_SERVICE = {
   version: 1,
   document: parseServiceDocument(
     `${ENGINE_DOCUMENT}
@@ -45,7 +45,7 @@
   'test',
 );
 
-/** Gives out endpoints in order and notes how slots come back. */
+/** Grants slots on `addresses` in order, and records how they are released. */
 function createFakeDispatch(addresses: string[]) {
   const outcomes: SlotOutcome['kind'][] = [];
   const granted: Slot[] = [];
@@ -96,7 +96,7 @@
   };
 }
 
-const WHOLE = 're drum 17: t1 t2 t3 t4 t5 t6 t7';
+const COMPLETE_TEXT = 're drum 17: t1 t2 t3 t4 t5 t6 t7';
 
 function readText(payloads: Buffer[]): string {
   return payloads
@@ -149,17 +149,17 @@
 
   describe('a stream that breaks off', () => {
     it('resumes on the same engine over a new connection', async () => {
-      // The caller sees one whole answer. Its connection goes silent after
-      // three tokens while the engine goes on; the stream is taken up at its
-      // offset on a new connection, on the slot already held.
+      // The connection goes silent after 3 tokens while the engine continues.
+      // The stream is resumed at its offset on a new connection and on the same
+      // slot, so that the caller sees one complete answer.
       const {execution, outcomes} = buildExecution();
       engines[0].faults.add({kind: 'silent', afterTokens: 3});
       const {text, error} = await streamText(
         execution,
-        makeRequest({service: IMPATIENT_SERVICE}),
+        makeRequest({service: SHORT_TIMEOUT_SERVICE}),
       );
       assert.equal(error, undefined);
-      assert.equal(text, WHOLE);
+      assert.equal(text, COMPLETE_TEXT);
       assert.deepEqual(outcomes, ['answered']);
       assert.deepEqual(
         [engines[0].counts.resumed, engines[1].counts.started],
@@ -167,24 +167,24 @@
       );
     });
 
-    it('goes on elsewhere when the engine has died', async () => {
-      // The caller sees one whole answer under one id. The engine's process
-      // ends after three tokens; another runs the request anew, repeats the
-      // three, and its further tokens are passed on.
+    it('continues on another engine when the first one has failed', async () => {
+      // The engine's process ends after 3 tokens. Another engine runs the request
+      // again and repeats these 3, and its further tokens are forwarded, so that
+      // the caller sees one complete answer under one id.
       const {execution, outcomes} = buildExecution();
       engines[0].faults.add({kind: 'die', afterTokens: 3});
       engines[0].faults.add({kind: 'refuse'});
       const {text, ids, error} = await streamText(execution, makeRequest());
       assert.equal(error, undefined);
-      assert.equal(text, WHOLE);
+      assert.equal(text, COMPLETE_TEXT);
       assert.deepEqual([...ids], ['req-1']);
       assert.deepEqual(outcomes, ['failed', 'answered']);
     });
 
     it('ends in an error rather than in a mixture of two answers', async () => {
-      // The caller sees the first tokens, then an error that says it may have
-      // run. The second engine gives another text for the same prompt; joined
-      // at the offset, the answer would be one that no engine has given.
+      // The second engine gives another text for the same prompt. Joined at the
+      // offset, the answer would be one that no engine has given. The caller
+      // sees the first tokens, and then an error with verdict may-have-run.
       const {execution} = buildExecution();
       engines[1].options.deterministic = false;
       engines[0].faults.add({kind: 'die', afterTokens: 3});
@@ -196,8 +196,8 @@
 
     it('does not resume a second run that had not caught up', async () => {
       // As above, but the second engine's connection breaks while it repeats
-      // what was sent. Resumed at the offset, its stream would go on unseen
-      // with another text.
+      // what was sent. If its stream were resumed at the offset, another text
+      // would continue the answer unnoticed.
       const {execution} = buildExecution();
       engines[1].options.deterministic = false;
       engines[0].faults.add({kind: 'die', afterTokens: 3});
@@ -208,7 +208,7 @@
       assert.doesNotMatch(text, /\//);
     });
 
-    it('begins a whole answer anew with another text', async () => {
+    it('restarts a collected answer with another text', async () => {
       const {execution} = buildExecution();
       engines[1].options.deterministic = false;
       engines[0].faults.add({kind: 'die', afterTokens: 3});
@@ -216,13 +216,13 @@
       const answer = await execution.collect(makeRequest());
       assert.equal(
         readText(answer.payloads),
-        WHOLE.replaceAll(/(:|t\d)/g, '$1/1'),
+        COMPLETE_TEXT.replaceAll(/(:|t\d)/g, '$1/1'),
       );
     });
   });
 
   describe('verdicts', () => {
-    it('is not-run when no endpoint took it', async () => {
+    it('is not-run when every endpoint refused the request', async () => {
       const {execution, outcomes} = buildExecution();
       for (const engine of engines) engine.faults.add({kind: 'refuse'});
       const {error} = await streamText(execution, makeRequest());
@@ -233,21 +233,22 @@
       assert.deepEqual(outcomes, ['failed', 'failed']);
     });
 
-    it('is may-have-run when one try is unclear and the next refused', async () => {
+    it('is may-have-run when one outcome is unknown and the next attempt is refused', async () => {
       const {execution, outcomes} = buildExecution();
       engines[0].faults.add({kind: 'silent'});
       engines[1].faults.add({kind: 'refuse'});
       const {error} = await streamText(
         execution,
-        makeRequest({service: IMPATIENT_SERVICE}),
+        makeRequest({service: SHORT_TIMEOUT_SERVICE}),
       );
       assert.equal(error?.verdict, 'may-have-run');
       assert.deepEqual(outcomes, ['silent', 'failed']);
     });
 
-    it('stops trying when the retry budget is spent', async () => {
-      // Callers see errors at once instead of three times the load on engines
-      // that are failing: after 20 saved retries, a tenth of the requests.
+    it('stops retrying when the retry budget is spent', async () => {
+      // Without a budget, retries would put 3 times the load on failing engines.
+      // After the 20 retries saved in the budget, only a tenth of the requests
+      // is retried, and callers of the others see the error at once.
       const {execution} = buildExecution();
       for (const engine of engines)
         engine.faults.add({kind: 'fail', times: 999});
@@ -269,7 +270,7 @@
       idempotent: false,
     };
 
-    it('runs once when its answer is lost', async () => {
+    it('runs once when its response is lost', async () => {
       const other = await startServiceServer();
       const {execution, outcomes} = buildExecution([
         service.address,
@@ -284,10 +285,10 @@
       await other.stop();
     });
 
-    it('is tried elsewhere on proof that it did not run', async () => {
-      const gone = await startServiceServer();
-      await gone.stop();
-      const {execution} = buildExecution([gone.address, service.address]);
+    it('is retried on another endpoint when it certainly did not run', async () => {
+      const stopped = await startServiceServer();
+      await stopped.stop();
+      const {execution} = buildExecution([stopped.address, service.address]);
       const answer = await execution.collect(makeRequest(plain));
       assert.equal(answer.status, 200);
       assert.equal(service.calls.length, 1);
@@ -295,7 +296,7 @@
   });
 
   describe('slots', () => {
-    it('come back when the consumer stops reading', async () => {
+    it('are released when the consumer stops reading', async () => {
       const {execution, outcomes} = buildExecution();
       engines[0].options.tokens = 1000;
       for await (const event of execution.run(makeRequest())) {
@@ -309,9 +310,10 @@
       assert.equal(state.open, 0);
     });
 
-    it('come back when granted after the caller has gone', async () => {
-      // The dispatcher would count the slot as taken for ever. The caller
-      // leaves while its request waits; the grant was already on its way.
+    it('are released when granted after the caller disconnected', async () => {
+      // The caller disconnects while its request waits and the grant is in
+      // transit. Without a release, the dispatcher would count the slot as taken
+      // for ever.
       const controller = new AbortController();
       let grant: (slot: Slot) => void = () => {};
       const released: SlotOutcome[] = [];
@@ -338,7 +340,7 @@
       assert.equal(released.length, 1);
     });
 
-    it('are given up for online work and taken again without cost', async () => {
+    it('are yielded to online work and acquired again without using up a retry', async () => {
       const {execution, outcomes, yields} = buildExecution();
       engines[0].options.tokens = 1000;
       const request = makeRequest({workClass: 'batch'});
@@ -356,7 +358,7 @@
   });
 
   describe('the end of a request from outside', () => {
-    it('is a deadline that passes while an engine is at it', async () => {
+    it('is a deadline that passes while an engine runs the request', async () => {
       const {execution, outcomes} = buildExecution();
       engines[0].options.firstTokenMs = 60_000;
       const deadline = performance.now() + 30;
@@ -382,7 +384,7 @@
       assert.deepEqual(outcomes, ['cancelled']);
     });
 
-    it('is a key withdrawn while the answer streams', async () => {
+    it('is a key withdrawn while the response streams', async () => {
       const {execution, outcomes} = buildExecution();
       engines[0].options.tokens = 100_000;
       let withdrawn = false;
--- a/src/instance/execution/execution.ts
+++ b/src/instance/execution/execution.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one request to its end: a slot, a try, and where it is safe another.
- * Online requests and batch items both go through here.
+ * Runs a request to its end: acquires a slot, makes an attempt, and retries where
+ * that is safe. Both online requests and batch items run here.
  */
 import type {Clock} from '../../common/clock.js';
 import {toRouterError} from '../../common/errors.js';
@@ -19,7 +19,7 @@
 import {createRetryPolicy} from './retry_policy.js';
 import type {RunDependencies} from './slot_runner.js';
 
-/** A request ready to run: authenticated, within its limits. */
+/** A request that is ready to run: authenticated and within its limits. */
 export interface ExecutionRequest {
   requestId: string;
   service: VersionedDocument;
@@ -30,23 +30,23 @@
   headers: Record<string, string>;
   body: Uint8Array;
   model: string;
-  /** Monotonic time after which the answer is of no use. */
+  /** Monotonic time after which the response is of no use. */
   deadline: number;
   promptTokens: number;
   answerTokens: number;
   prefixHashes: readonly string[];
-  /** Whether it may be sent again after an unclear outcome. */
+  /** Whether the request may be sent again after an unknown outcome. */
   idempotent: boolean;
   /**
    * Called when a slot is held and the request is about to be sent, and again
-   * while its answer streams; throws RouterError (not-run) when its key was
-   * withdrawn meanwhile.
+   * while its response streams. Throws RouterError (not-run) when the key has
+   * been withdrawn.
    */
   authorize: () => void;
   signal: AbortSignal;
 }
 
-/** A whole answer. */
+/** A complete response. */
 export interface WholeAnswer {
   status: number;
   headers: Record<string, string>;
@@ -57,15 +57,16 @@
 /** Runs requests. */
 export interface Execution extends StateSource {
   /**
-   * The events of the whole answer: one head, data in order without gaps or
-   * repeats, one end. Throws RouterError with the verdict over all tries.
+   * Streams the events of the response: one head, data in order without gaps or
+   * repeats, one end. Throws RouterError with the verdict over all attempts.
    * Ending the iteration early cancels the request on its endpoint.
    */
   run(request: ExecutionRequest): AsyncIterable<EndpointEvent>;
   /**
-   * The answer as a whole. Preferred where nothing is passed on before the
-   * end: a broken answer may then begin anew with another text. `onStarted` is
-   * called when an endpoint begins to answer, again if another begins anew.
+   * Collects the complete response. It is preferred where nothing is forwarded
+   * before the end, because a response that breaks off may then restart with
+   * another text. `onStarted` is called when an endpoint starts to respond, and
+   * again when another one restarts the response.
    */
   collect(
     request: ExecutionRequest,
@@ -73,7 +74,7 @@
   ): Promise<WholeAnswer>;
 }
 
-/** Ties dispatch to the endpoint adapters. */
+/** Creates an execution that runs requests on the slots of `dispatch`. */
 export function createExecution(
   clock: Clock,
   dispatch: Dispatch,
@@ -120,8 +121,8 @@
       for (let call = await run.nextCall(); call; call = await run.nextCall()) {
         try {
           for await (const event of adapter.send(call)) {
-            const fresh = run.note(event);
-            if (fresh) yield fresh;
+            const newEvent = run.note(event);
+            if (newEvent) yield newEvent;
           }
           run.finish();
         } catch (thrown) {
--- a/src/instance/execution/linked_signal.ts
+++ b/src/instance/execution/linked_signal.ts
@@ -1,12 +1,12 @@
-/** Signals that abort with another. */
+/** Abort signals that follow other signals. */
 
-/** A signal that is unlinked when it is no longer needed. */
+/** A signal that must be closed when it is no longer needed. */
 export interface LinkedSignal {
   signal: AbortSignal;
   close(): void;
 }
 
-/** Aborts with the first of two. */
+/** Creates a signal that aborts when either of two signals does. */
 export function mergeSignals(
   first: AbortSignal,
   second: AbortSignal | undefined,
--- a/src/instance/execution/request_run.ts
+++ b/src/instance/execution/request_run.ts
@@ -1,8 +1,8 @@
 /**
- * One request on its way over slots and tries: which call comes next, and when
- * it must be given up. The calls themselves are made by execution.ts, whose one
- * generator all events pass through: a generator on each level costs several
- * promises for every token.
+ * The state of one request over its slots and attempts: it decides which call is
+ * made next and when the request is given up. execution.ts makes the calls, so
+ * that all events pass through a single generator; a generator on each level
+ * would cost several promises for every token.
  */
 import {RouterError} from '../../common/errors.js';
 import {mergeVerdicts} from '../../common/verdict.js';
@@ -18,29 +18,29 @@
   createSlotRunner,
   type RunDependencies,
   type SlotRunner,
-  type TryOutcome,
+  type AttemptOutcome,
 } from './slot_runner.js';
 
-/** The way of one request. */
+/** One request over its slots and attempts. */
 export interface RequestRun {
   /**
-   * The next try, undefined once the answer is whole. Throws RouterError when
-   * the request is given up.
+   * Returns the call of the next attempt, or undefined once the answer is
+   * complete. Throws RouterError when the request is given up.
    */
   nextCall(): Promise<EndpointCall | undefined>;
-  /** What of an event is new; throws RouterError when it does not fit. */
+  /** Returns an event if it is new; throws RouterError when it does not fit. */
   note(event: EndpointEvent): ProgressEvent | undefined;
-  /** The answer is whole. */
+  /** Records that the answer is complete. */
   finish(): void;
-  /** A try failed. Throws RouterError when the request must end. */
+  /** Handles a failed attempt. Throws RouterError when the request must end. */
   handleFailure(thrown: unknown): void;
-  /** The error that ends the request, with the verdict over all its tries. */
+  /** Builds the error that ends the request, with the verdict over all attempts. */
   buildFinalError(error: RouterError): RouterError;
-  /** Gives back the slot that is held, whatever happened. */
+  /** Releases the held slot, whatever the outcome. */
   close(): void;
 }
 
-/** `streamed`: what was passed on cannot be taken back. */
+/** With `streamed`, events that were forwarded cannot be revoked. */
 export function createRequestRun(
   request: ExecutionRequest,
   streamed: boolean,
@@ -50,10 +50,10 @@
 ): RequestRun {
   const progress = createAnswerProgress(streamed);
   let runner: SlotRunner | undefined;
-  let outcome: TryOutcome | undefined;
+  let outcome: AttemptOutcome | undefined;
   let failure: RouterError | undefined;
   let slots = 0;
-  let tries = 0;
+  let failedAttempts = 0;
 
   async function startSlot(): Promise<EndpointCall> {
     const next = createSlotRunner(
@@ -66,7 +66,7 @@
     try {
       await next.acquire(slots, failure);
     } catch (thrown) {
-      // A retry that finds no slot is given back to the budget.
+      // A retry that gets no slot is returned to the budget.
       if (failure) retries.releaseRetry(request);
       throw thrown;
     }
@@ -83,8 +83,8 @@
   function checkRetry() {
     failure = outcome?.kind === 'failed' ? outcome.error : undefined;
     if (!failure) return;
-    tries++;
-    retries.checkRetry(request, progress, failure, tries);
+    failedAttempts++;
+    retries.checkRetry(request, progress, failure, failedAttempts);
   }
 
   return {
--- a/src/instance/execution/request_watch.ts
+++ b/src/instance/execution/request_watch.ts
@@ -1,28 +1,28 @@
 /**
- * Watches running requests and ends them when their answer is of no more use:
- * the caller is gone, the deadline has passed, or the key was withdrawn.
+ * Watches running requests and ends them when their response is of no more use:
+ * the caller has disconnected, the deadline has passed, or the key was withdrawn.
  */
 import type {CancelSchedule, Clock} from '../../common/clock.js';
 import {RouterError, toRouterError} from '../../common/errors.js';
 import {AUTHORIZE_INTERVAL_MS} from './constants.js';
 
-/** What of a request is watched. */
+/** The properties of a request that are watched. */
 export interface WatchedRequest {
-  /** Monotonic time after which the answer is of no use. */
+  /** Monotonic time after which the response is of no use. */
   deadline: number;
   /** Throws RouterError when the request's key is no longer valid. */
   authorize: () => void;
-  /** Aborted when the caller is gone. */
+  /** Aborted when the caller disconnects. */
   signal: AbortSignal;
 }
 
-/** The watch over one request. */
+/** The watch of one request. */
 export interface RequestWatch {
-  /** Aborted when the request must end; `getReason` tells why. */
+  /** Aborted when the request must end; `getReason` returns the reason. */
   signal: AbortSignal;
-  /** Why it must end; its verdict says nothing of what ran meanwhile. */
+  /** The reason to end; its verdict does not cover an attempt in progress. */
   getReason(): RouterError | undefined;
-  /** Rejects with the reason if `promise` does not settle before. */
+  /** Awaits `promise`, but rejects with the reason if the request ends before. */
   awaitOrEnd<Value>(promise: Promise<Value>): Promise<Value>;
   close(): void;
 }
@@ -38,12 +38,12 @@
   end(reason: RouterError): void;
 }
 
-/** Starts without requests. */
+/** Creates watches without requests. */
 export function createRequestWatches(clock: Clock): RequestWatches {
   const open = new Set<OpenRequest>();
   let sweepScheduled = false;
 
-  /** A key that is withdrawn while an answer streams ends the answer. */
+  /** Ends requests whose key was withdrawn, also while a response streams. */
   function checkKeys() {
     sweepScheduled = false;
     for (const request of [...open]) {
@@ -104,7 +104,7 @@
   return clock.schedule(request.deadline - clock.now(), endAtDeadline);
 }
 
-/** Why the caller's side ended: it is gone, unless it says otherwise. */
+/** Returns the caller's reason to abort; by default, that it has disconnected. */
 function toAbortReason({reason}: AbortSignal): RouterError {
   if (reason instanceof RouterError) return reason;
   return new RouterError('cancelled', 'the caller is gone', {
--- a/src/instance/execution/retry_policy.ts
+++ b/src/instance/execution/retry_policy.ts
@@ -1,4 +1,4 @@
-/** Whether a failed request is tried again, and at whose expense. */
+/** Decides whether a failed request is retried, within each service's budget. */
 import type {Clock} from '../../common/clock.js';
 import {RouterError} from '../../common/errors.js';
 import type {Metrics} from '../../common/metrics.js';
@@ -11,28 +11,28 @@
 } from '../../decisions/retry_budget.js';
 import type {AdapterTable} from '../endpoints/endpoint_adapter.js';
 import type {AnswerProgress} from './answer_progress.js';
-import {BUDGET_RETRY_AFTER_MS, MAX_TRIES} from './constants.js';
+import {BUDGET_RETRY_AFTER_MS, MAX_ATTEMPTS} from './constants.js';
 import type {ExecutionRequest} from './execution.js';
 
 /** The retry budgets of an instance, one for each service. */
 export interface RetryPolicy {
-  /** A new request of the service earns part of a retry. */
+  /** Credits the budget with the fraction of a retry that a new request earns. */
   noteRequest(request: ExecutionRequest): void;
-  /** Takes one retry if the budget holds one. */
+  /** Takes one retry from the budget; returns whether there was one. */
   drawRetry(request: ExecutionRequest): boolean;
-  /** Gives back a retry for which no slot could be had. */
+  /** Returns a retry to the budget because no slot was granted for it. */
   releaseRetry(request: ExecutionRequest): void;
-  /** Throws `failure` when the request must not or cannot be tried again. */
+  /** Throws `failure` when the request must not or cannot be retried. */
   checkRetry(
     request: ExecutionRequest,
     progress: AnswerProgress,
     failure: RouterError,
-    tries: number,
+    failedAttempts: number,
   ): void;
   describeState(): object;
 }
 
-/** Starts with full budgets. */
+/** Creates a policy with full budgets. */
 export function createRetryPolicy(
   clock: Clock,
   adapters: AdapterTable,
@@ -49,7 +49,7 @@
     return budgets.get(service) ?? createRetryBudget(clock.now());
   }
 
-  function drawOne(request: ExecutionRequest): boolean {
+  function drawServiceRetry(request: ExecutionRequest): boolean {
     const {name} = request.service.document.service;
     const {granted, budget} = drawRetry(findBudget(name), clock.now());
     budgets.set(name, budget);
@@ -62,18 +62,19 @@
       const {name} = request.service.document.service;
       budgets.set(name, noteRequest(findBudget(name), clock.now()));
     },
-    drawRetry: drawOne,
+    drawRetry: drawServiceRetry,
     releaseRetry(request) {
       const {name} = request.service.document.service;
       budgets.set(name, releaseRetry(findBudget(name), clock.now()));
     },
-    checkRetry(request, progress, failure, tries) {
-      if (tries >= MAX_TRIES || clock.now() >= request.deadline) throw failure;
+    checkRetry(request, progress, failure, failedAttempts) {
+      if (failedAttempts >= MAX_ATTEMPTS || clock.now() >= request.deadline)
+        throw failure;
       if (failure.verdict !== 'not-run' && !request.idempotent) throw failure;
       const {kind} = request.service.document.service;
       if (progress.hasHead() && !adapters[kind].canResume) throw failure;
       if (!progress.canReplay()) throw failure;
-      if (!drawOne(request)) throw withRetryAfter(failure);
+      if (!drawServiceRetry(request)) throw withRetryAfter(failure);
     },
     describeState: () =>
       Object.fromEntries(
@@ -82,7 +83,10 @@
   };
 }
 
-/** Endpoints are failing fast: a caller that comes back at once adds to it. */
+/**
+ * Adds a retry delay to a failure, because callers that retry at once would add
+ * load to endpoints that fail fast.
+ */
 function withRetryAfter(failure: RouterError): RouterError {
   return new RouterError(failure.code, failure.message, {
     verdict: failure.verdict,
--- a/src/instance/execution/slot_acquisition.ts
+++ b/src/instance/execution/slot_acquisition.ts
@@ -1,12 +1,13 @@
-/** Waits for a slot as long as the request is wanted. */
+/** Acquires a slot for a request, unless the request ends before. */
 import {toRouterError} from '../../common/errors.js';
 import type {Dispatch, Slot} from '../dispatch/dispatch.js';
 import type {ExecutionRequest} from './execution.js';
 import type {RequestWatch} from './request_watch.js';
 
 /**
- * `callId` names the use of the slot, `avoid` the endpoints that failed the
- * request. Throws RouterError when none can be had or the request must end.
+ * Acquires a slot. `callId` identifies the use of the slot, and `avoid` lists the
+ * endpoints on which the request failed. Throws RouterError when no slot is
+ * granted or the request must end.
  */
 export async function acquireSlot(
   dispatch: Dispatch,
@@ -27,7 +28,7 @@
   try {
     return await watch.awaitOrEnd(pending);
   } catch (thrown) {
-    // A slot that is granted after the request has ended would stay taken.
+    // Otherwise a slot that is granted after the request ended would leak.
     pending.then(
       slot => slot.release({kind: 'cancelled', tokens: 0}),
       () => {},
--- a/src/instance/execution/slot_runner.ts
+++ b/src/instance/execution/slot_runner.ts
@@ -1,4 +1,4 @@
-/** A request on one slot: a try and, where it helps, its resumption. */
+/** Runs a request on one slot: one attempt and, if possible, its resumption. */
 import type {Clock} from '../../common/clock.js';
 import {toRouterError, type RouterError} from '../../common/errors.js';
 import type {Metrics} from '../../common/metrics.js';
@@ -14,7 +14,7 @@
 import type {AnswerProgress, ProgressEvent} from './answer_progress.js';
 import {isConnectionLost} from '../endpoints/connection_loss.js';
 import type {ContentGuard} from '../quarantine/quarantine.js';
-import {MAX_TRIES_ON_SLOT} from './constants.js';
+import {MAX_ATTEMPTS_PER_SLOT} from './constants.js';
 import type {ExecutionRequest} from './execution.js';
 import {mergeSignals, type LinkedSignal} from './linked_signal.js';
 import type {RequestWatch} from './request_watch.js';
@@ -22,7 +22,7 @@
 import {acquireSlot} from './slot_acquisition.js';
 import {createSlotUse, type SlotUse} from './slot_use.js';
 
-/** What running a request needs of the instance. */
+/** Dependencies of running a request. */
 export interface RunDependencies {
   clock: Clock;
   dispatch: Dispatch;
@@ -31,41 +31,41 @@
   metrics: Metrics;
 }
 
-/** How the use of a slot ended. */
+/** Outcome of a request on one slot. */
 export type SlotEnding =
   | {kind: 'answered'}
-  /** The slot was wanted for online work; the request goes on elsewhere. */
+  /** The slot was needed for online work; the request continues on another. */
   | {kind: 'yielded'}
   | {kind: 'failed'; error: RouterError};
 
-/** What follows a failed try: another on the same slot, or the slot's end. */
-export type TryOutcome = {kind: 'resume'; call: EndpointCall} | SlotEnding;
+/** What follows a failed attempt: another on the same slot, or the slot's end. */
+export type AttemptOutcome = {kind: 'resume'; call: EndpointCall} | SlotEnding;
 
-/** The decisions of a request on one slot. */
+/** The state and decisions of a request on one slot. */
 export interface SlotRunner {
   /**
-   * `slots` were used before, and `failure` ended the last one. Throws
-   * RouterError when none can be had.
+   * Acquires the slot. `slots` is the number of slots used before, and `failure`
+   * ended the last of them. Throws RouterError when no slot is granted.
    */
   acquire(slots: number, failure: RouterError | undefined): Promise<void>;
-  /** The first try. Throws RouterError when the key is no longer valid. */
+  /** Starts the first attempt. Throws RouterError when the key is not valid. */
   start(): EndpointCall;
-  /** What of an event is new; throws RouterError when it does not fit. */
+  /** Returns an event if it is new; throws RouterError when it does not fit. */
   note(event: EndpointEvent): ProgressEvent | undefined;
-  /** The answer is whole. */
+  /** Records that the answer is complete. */
   finish(): SlotEnding;
-  /** A try failed. Throws RouterError when the request itself must end. */
-  handleFailure(thrown: unknown): TryOutcome;
-  /** Gives the slot back and tells the endpoint to stop; called once. */
+  /** Handles a failed attempt. Throws RouterError when the request must end. */
+  handleFailure(thrown: unknown): AttemptOutcome;
+  /** Releases the slot and cancels the call on the endpoint; called once. */
   close(): void;
 }
 
-/** How a slot is given back after an error. */
+/** Outcome with which a slot is released after an error; `failed` if absent. */
 const OUTCOME_OF_ERROR: Partial<
   Record<RouterError['code'], SlotOutcome['kind']>
 > = {endpoint_silent: 'silent'};
 
-/** For one slot; each slot has a runner of its own. */
+/** Creates a runner for one slot; each slot has its own. */
 export function createSlotRunner(
   request: ExecutionRequest,
   progress: AnswerProgress,
@@ -80,7 +80,8 @@
     target: request.path,
   });
   const adapter = adapters[document.service.kind];
-  // What may not be repeated cannot make way: its outcome would be unclear.
+  // A request that must not be repeated cannot yield, because its outcome would
+  // be unknown.
   const canYield = request.workClass === 'batch' && request.idempotent;
   const resumptions = metrics.createCounter(
     'resumptions_total',
@@ -90,7 +91,7 @@
   let callId = request.requestId;
   let call: EndpointCall | undefined;
   let abort: LinkedSignal | undefined;
-  let tries = 0;
+  let attempts = 0;
   let mayRun = false;
 
   function buildCall(slot: Slot, signal: AbortSignal): EndpointCall {
@@ -112,9 +113,9 @@
     return canYield && use.slot.yieldSignal.aborted;
   }
 
-  /** Only a stream that had begun on this slot's engine is there to resume. */
+  /** Whether the engine of this slot has a stream that can be resumed. */
   function isResumable(error: RouterError): boolean {
-    if (!adapter.canResume || tries >= MAX_TRIES_ON_SLOT) return false;
+    if (!adapter.canResume || attempts >= MAX_ATTEMPTS_PER_SLOT) return false;
     if (!request.idempotent || isYielded()) return false;
     if (error.verdict === 'not-run') return false;
     return progress.countEvents() > 0 && progress.isAligned();
@@ -130,19 +131,19 @@
     });
   }
 
-  function handleError(error: RouterError): TryOutcome {
+  function handleError(error: RouterError): AttemptOutcome {
     noteLoss(error);
     const reason = watch.getReason();
     if (reason) {
-      // The reason was found outside the try, so it proves nothing about it.
+      // The reason is unrelated to the attempt, so the request may have run.
       progress.verdict = mergeVerdicts(progress.verdict, 'may-have-run');
       throw reason;
     }
     progress.verdict = mergeVerdicts(progress.verdict, error.verdict);
     if (call && isResumable(error) && retries.drawRetry(request)) {
       resumptions.inc();
-      progress.startTry();
-      tries++;
+      progress.startAttempt();
+      attempts++;
       const offset = progress.countEvents();
       return {kind: 'resume', call: {...call, offset, freshConnection: true}};
     }
@@ -157,8 +158,8 @@
 
   return {
     async acquire(slots, failure) {
-      // Another id on each slot: a late cancel or answer of the last one must
-      // not meet this one, which may run on the same engine.
+      // Each slot gets its own id. A late cancellation or response of the last
+      // call must not affect this one, which may run on the same engine.
       if (slots > 0) callId = `${request.requestId}.${slots}`;
       quarantine.checkHeld(content);
       try {
@@ -171,7 +172,7 @@
         );
         use = createSlotUse(clock, slot);
       } catch (thrown) {
-        // What failed the last try says more than that no other slot is free.
+        // The failure of the last attempt is more informative than a refusal.
         if (failure && !watch.signal.aborted) throw failure;
         throw thrown;
       }
@@ -184,18 +185,18 @@
       call = buildCall(use.slot, abort.signal);
       request.authorize();
       quarantine.checkHeld(content);
-      progress.startTry();
-      tries = 1;
+      progress.startAttempt();
+      attempts = 1;
       mayRun = true;
       return call;
     },
     note(event) {
       if (event.kind === 'data') use.noteToken();
-      const fresh = progress.note(event);
+      const newEvent = progress.note(event);
       const isRenamed = callId !== request.requestId && adapter.canResume;
-      return fresh && isRenamed
-        ? replaceCallId(fresh, callId, request.requestId)
-        : fresh;
+      return newEvent && isRenamed
+        ? replaceCallId(newEvent, callId, request.requestId)
+        : newEvent;
     },
     finish() {
       mayRun = false;
@@ -216,14 +217,17 @@
   };
 }
 
-/** An engine goes on with a stream whose connection closed, to be resumed. */
+/**
+ * Cancels a call explicitly, because an engine continues a stream whose
+ * connection was closed, so that it can be resumed.
+ */
 function cancelCall(adapter: EndpointAdapter, call: EndpointCall) {
   adapter
     .cancel({...call, signal: new AbortController().signal})
     .catch(() => {});
 }
 
-/** The caller sees one id, whichever slot an event came from. */
+/** Restores the request's id, so that the caller sees one id for all slots. */
 function replaceCallId(
   event: ProgressEvent,
   callId: string,
--- a/src/instance/execution/slot_use.ts
+++ b/src/instance/execution/slot_use.ts
@@ -1,4 +1,4 @@
-/** The use of one slot: times it and gives it back once, whatever happens. */
+/** Measures the use of one slot, and releases the slot exactly once. */
 import type {Clock} from '../../common/clock.js';
 import type {Slot, SlotOutcome} from '../dispatch/dispatch.js';
 
@@ -6,12 +6,12 @@
 export interface SlotUse {
   slot: Slot;
   noteToken(): void;
-  /** What the slot is given back with; `cancelled` unless set. */
+  /** Sets the outcome with which the slot is released; default `cancelled`. */
   setOutcome(kind: SlotOutcome['kind']): void;
   release(): void;
 }
 
-/** The time to the first byte counts from here. */
+/** Creates a use, which starts the measurement of the time to the first byte. */
 export function createSlotUse(clock: Clock, slot: Slot): SlotUse {
   const startedAt = clock.now();
   let kind: SlotOutcome['kind'] = 'cancelled';
