--- a/src/instance/dispatch/pool_dispatcher.ts
+++ b/src/instance/dispatch/pool_dispatcher.ts
@@ -154,7 +154,7 @@
     scheduleDecision();
   }
 
-  /** Schedules a decision, as time alone can refuse a request or end a probe. */
+  /** Schedules a decision: time alone can refuse a request or end a probe. */
   function scheduleDecision() {
     if (cancelTimer || (waiting.size === 0 && held.size === 0)) return;
     cancelTimer = clock.schedule(DECIDE_INTERVAL_MS, () => {
