--- a/src/instance/dispatch/dispatch_router.ts
+++ b/src/instance/dispatch/dispatch_router.ts
@@ -20,7 +20,6 @@
   type WireRequest,
 } from './dispatch_schemas.js';
 
-/** Dependencies of the procedures. */
 export interface DispatchRouterDependencies {
   clock: Clock;
   pools: PoolTable;
--- a/src/instance/dispatch/dispatch_schemas.ts
+++ b/src/instance/dispatch/dispatch_schemas.ts
@@ -125,15 +125,9 @@
 /** Batch items that must yield their slots at once. */
 export const yieldSchema = z.strictObject({requestIds: z.array(z.string())});
 
-/** Type of the schema of the same name. */
 export type PoolDescription = z.infer<typeof poolDescriptionSchema>;
-/** Type of the schema of the same name. */
 export type WireRequest = z.infer<typeof wireRequestSchema>;
-/** Type of the schema of the same name. */
 export type AcquireAnswer = z.infer<typeof acquireAnswerSchema>;
-/** Type of the schema of the same name. */
 export type AcquireInput = z.infer<typeof acquireSchema>;
-/** Type of the schema of the same name. */
 export type ReleaseInput = z.infer<typeof releaseSchema>;
-/** Type of the schema of the same name. */
 export type ReportInput = z.infer<typeof reportSchema>;
--- a/src/instance/dispatch/endpoint_observer.ts
+++ b/src/instance/dispatch/endpoint_observer.ts
@@ -17,7 +17,6 @@
 import type {PoolDispatcher} from './pool_dispatcher.js';
 import type {OpenPool, PoolTable} from './pool_table.js';
 
-/** Dependencies of the observer. */
 export interface EndpointObserverDependencies {
   clock: Clock;
   pools: PoolTable;
--- a/src/instance/dispatch/fleet_dispatch.ts
+++ b/src/instance/dispatch/fleet_dispatch.ts
@@ -30,7 +30,6 @@
 import {buildRefusalError} from './slot_refusal.js';
 import {createSlotReporter, encodeSlot} from './slot_reports.js';
 
-/** Dependencies of dispatch. */
 export interface FleetDispatchDependencies {
   clock: Clock;
   members: Members;
--- a/src/instance/dispatch/slot_acquirer.ts
+++ b/src/instance/dispatch/slot_acquirer.ts
@@ -21,7 +21,6 @@
 } from './remote_dispatcher.js';
 import {NO_DISPATCHER, NO_ENDPOINT, type SlotRefusal} from './slot_refusal.js';
 
-/** Dependencies of the acquirer. */
 export interface SlotAcquirerDependencies {
   clock: Clock;
   self: SelfDescription;
--- a/src/instance/execution/slot_runner.ts
+++ b/src/instance/execution/slot_runner.ts
@@ -22,7 +22,6 @@
 import {acquireSlot} from './slot_acquisition.js';
 import {createSlotUse, type SlotUse} from './slot_use.js';
 
-/** Dependencies of running a request. */
 export interface RunDependencies {
   clock: Clock;
   dispatch: Dispatch;
--- a/src/instance/limits/holder.ts
+++ b/src/instance/limits/holder.ts
@@ -49,7 +49,6 @@
   describe(now: number): object;
 }
 
-/** Dependencies of the holder. */
 export interface HolderDependencies {
   clock: Clock;
   metrics: Metrics;
--- a/src/instance/limits/limits.ts
+++ b/src/instance/limits/limits.ts
@@ -57,7 +57,6 @@
   limits: BucketLimits;
 }
 
-/** Dependencies of fleet-wide limits. */
 export interface FleetLimitsDependencies {
   clock: Clock;
   metrics: Metrics;
--- a/src/instance/limits/owner_limits.ts
+++ b/src/instance/limits/owner_limits.ts
@@ -65,7 +65,6 @@
   refund(address: string, account: string): void;
 }
 
-/** Dependencies of the limits. */
 export interface OwnerLimitsDependencies {
   clock: Clock;
   metrics: Metrics;
--- a/src/instance/quarantine/crash_store.ts
+++ b/src/instance/quarantine/crash_store.ts
@@ -38,7 +38,6 @@
   stop(): void;
 }
 
-/** Dependencies of the store. */
 export interface CrashStoreDependencies {
   log: Log;
   table: TableStore;
--- a/src/instance/quarantine/crash_watch.ts
+++ b/src/instance/quarantine/crash_watch.ts
@@ -20,7 +20,6 @@
   noteLoss(run: LostRun): Promise<void>;
 }
 
-/** Dependencies of the watch. */
 export interface CrashWatchDependencies {
   log: Log;
   metrics: Metrics;
--- a/src/instance/quarantine/quarantine.ts
+++ b/src/instance/quarantine/quarantine.ts
@@ -49,7 +49,6 @@
   'checkHeld' | 'noteLoss' | 'noteAnswered'
 >;
 
-/** Dependencies of the quarantine. */
 export interface QuarantineDependencies {
   clock: Clock;
   /** Shared clock by which crashes are recorded; it is only read here. */
