--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,4 +1,4 @@
-/** The table of commands: command-line id to class. */
+/** Maps each command id to its class. */
 import type {Command} from '@oclif/core';
 import {ApplyCommand} from './commands/apply.js';
 import {CheckCommand} from './commands/check.js';
@@ -29,7 +29,7 @@
 import {StandInServiceCommand} from './commands/stand_in_service.js';
 import {StateCommand} from './commands/state.js';
 
-/** Every command; ids with a colon are typed with a space. */
+/** All commands. A colon in an id is a space on the command line. */
 export const COMMANDS: Record<string, typeof Command> = {
   apply: ApplyCommand,
   check: CheckCommand,
--- a/src/cli/commands/apply.ts
+++ b/src/cli/commands/apply.ts
@@ -1,4 +1,4 @@
-/** `apply`: puts a service document into force. */
+/** `apply`: stores a service document, which the instances then apply. */
 import {readFileSync} from 'node:fs';
 import {userInfo} from 'node:os';
 import {Args, Command, Flags} from '@oclif/core';
@@ -17,7 +17,7 @@
   WAIT_FLAGS,
 } from '../operator_session.js';
 
-/** Validates a document, stores it, and may wait for the instances. */
+/** Validates and stores a document; with `--wait`, waits for the instances. */
 export class ApplyCommand extends Command {
   static override summary = 'Put a service document into force';
   static override description =
--- a/src/cli/commands/check.ts
+++ b/src/cli/commands/check.ts
@@ -35,7 +35,7 @@
   async run(): Promise<{valid: boolean; faults: readonly object[]}> {
     const {args, flags} = await this.parse(CheckCommand);
     const text = readFileSync(args.file, 'utf8');
-    const kind = flags.kind ?? findKind(text);
+    const kind = flags.kind ?? detectKind(text);
     try {
       PARSERS[kind](text, args.file);
     } catch (error) {
@@ -49,7 +49,7 @@
   }
 }
 
-function findKind(text: string): string {
+function detectKind(text: string): string {
   if (!/^\s*\[instance\]/m.test(text)) return 'service';
   return findSettingsKind(text) === 'gateway' ? 'gateway' : 'settings';
 }
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -1,4 +1,4 @@
-/** `explain`: the life of one request or bundle, from instances' logs. */
+/** `explain`: what the instances logged of one request, item or bundle. */
 import {readFileSync} from 'node:fs';
 import {Args, Command, Flags} from '@oclif/core';
 import {explainId} from '../explain_log.js';
@@ -6,7 +6,7 @@
 const EXIT_UNKNOWN = 1;
 const EXIT_USAGE = 2;
 
-/** Prints what all instances logged of an id, in the order of time. */
+/** Prints the log records of an id from all given logs, ordered by time. */
 export class ExplainCommand extends Command {
   static override summary =
     'Print what instances logged of a request, item or bundle, in order';
@@ -32,13 +32,13 @@
   async run(): Promise<void> {
     const {args, flags} = await this.parse(ExplainCommand);
     const lines = flags.log.flatMap(file => this.loadLines(file));
-    const story = explainId(lines, args.id);
-    if (story.length === 0) {
+    const explanation = explainId(lines, args.id);
+    if (explanation.length === 0) {
       this.error(`no line of these logs names ${args.id}`, {
         exit: EXIT_UNKNOWN,
       });
     }
-    for (const line of story) this.log(line);
+    for (const line of explanation) this.log(line);
   }
 
   private loadLines(file: string): string[] {
--- a/src/cli/commands/jobs.ts
+++ b/src/cli/commands/jobs.ts
@@ -10,7 +10,7 @@
   job: Args.string({required: true, description: 'id of the job'}),
 };
 
-/** Uploads a bundle and creates a job over it. */
+/** Uploads a bundle and creates a job from it. */
 export class JobsSubmitCommand extends JobsCommand {
   static override summary = 'Submit a bundle of batch items';
   static override description =
@@ -65,7 +65,6 @@
   }
 }
 
-/** Shows one job. */
 export class JobsShowCommand extends JobsCommand {
   static override summary = 'Show a job and how far it is';
   static override examples = ['<%= config.bin %> jobs show JOB --wait'];
@@ -85,7 +84,6 @@
   }
 }
 
-/** Cancels a job. */
 export class JobsCancelCommand extends JobsCommand {
   static override summary = 'Cancel a job; what runs of it stops in seconds';
   static override examples = ['<%= config.bin %> jobs cancel JOB'];
--- a/src/cli/commands/key.ts
+++ b/src/cli/commands/key.ts
@@ -1,4 +1,4 @@
-/** `key give|withdraw|list`: the keys of client accounts. */
+/** `key give|withdraw|list`: manages the keys of client accounts. */
 import {Args, Command, Flags} from '@oclif/core';
 import {nameSchema} from '../../common/units.js';
 import type {InstanceReport} from '../../instance/configuration/await_generation.js';
@@ -40,7 +40,9 @@
     const {args, flags} = await this.parse(KeyGiveCommand);
     const {account} = args;
     if (!nameSchema.safeParse(account).success) {
-      this.error(`'${account}' is no account name`, {exit: EXIT_CODES.usage});
+      this.error(`'${account}' is not a valid account name`, {
+        exit: EXIT_CODES.usage,
+      });
     }
     return runOperatorSession(this, flags.settings, async session => {
       const given = await giveKey(session.platform.table, account);
@@ -53,7 +55,7 @@
   }
 }
 
-/** Revokes a key and names the instances that may still serve it. */
+/** Revokes a key and names the instances that may still accept it. */
 export class KeyWithdrawCommand extends Command {
   static override summary = 'Withdraw a key';
   static override description =
@@ -86,7 +88,7 @@
   }
 }
 
-/** Lists keys by id; secrets are kept nowhere. */
+/** Lists keys by id; secrets are not stored. */
 export class KeyListCommand extends Command {
   static override summary = 'List the keys of client accounts';
   static override examples = [
--- a/src/cli/commands/load.ts
+++ b/src/cli/commands/load.ts
@@ -1,8 +1,8 @@
-/** `load`: ten instance processes under load and faults; ends by itself. */
+/** `load`: runs 10 instance processes under load and faults, then ends. */
 import {Command} from '@oclif/core';
 import {runLoad} from '../../tools/load/run_load.js';
 
-/** Starts other processes of this program, on loopback, and ends them. */
+/** Starts other processes of this program on loopback and ends them again. */
 export class LoadCommand extends Command {
   static override summary =
     'Measure ten instance processes under load and faults, in two minutes';
--- a/src/cli/commands/serve.ts
+++ b/src/cli/commands/serve.ts
@@ -1,4 +1,4 @@
-/** `serve`: runs one instance until it is told to stop. */
+/** `serve`: runs one instance until SIGTERM or SIGINT. */
 import {readFileSync} from 'node:fs';
 import {Command, Flags} from '@oclif/core';
 import {createSystemClock} from '../../common/clock.js';
@@ -15,7 +15,7 @@
 const EXIT_SETTINGS = 2;
 const EXIT_START = 1;
 
-/** Starts nothing when the settings are not valid. */
+/** Runs an instance or a gateway; starts nothing if its settings are invalid. */
 export class ServeCommand extends Command {
   static override summary = 'Run one instance';
   static override description =
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Loaded when asked for: it shares little with the other kind. */
+  /** Imported only for a gateway, because an instance needs little of its code. */
   private async serveGateway(file: string): Promise<void> {
     const {serveSite} = await import('../../../platform/serve_site.js');
     try {
--- a/src/cli/commands/services.ts
+++ b/src/cli/commands/services.ts
@@ -1,4 +1,4 @@
-/** `services list|show|history`: the documents in the platform's table. */
+/** `services list|show|history`: reads the service documents in the platform's table. */
 import {Args, Command, Flags} from '@oclif/core';
 import {
   findStoredDocument,
@@ -19,7 +19,7 @@
   return `${service}\tversion ${version}\t${time}\t${author}`;
 }
 
-/** Lists the documents in force. */
+/** Lists the active documents. */
 export class ServicesListCommand extends Command {
   static override summary = 'List the services and their versions';
   static override examples = [
--- a/src/cli/commands/stand_in_engine.ts
+++ b/src/cli/commands/stand_in_engine.ts
@@ -1,4 +1,4 @@
-/** `stand-in engine`: a model engine on loopback. */
+/** `stand-in engine`: a stand-in for a model engine, on loopback. */
 import {Command, Flags} from '@oclif/core';
 import {startEngineServer} from '../../stand_ins/engine/engine_server.js';
 import {awaitInterrupt} from '../interrupts.js';
--- a/src/cli/commands/stand_in_platform.ts
+++ b/src/cli/commands/stand_in_platform.ts
@@ -1,4 +1,4 @@
-/** `stand-in platform`: table service, object store and instance list. */
+/** `stand-in platform`: table service, object store and instance list on loopback. */
 import {Command, Flags} from '@oclif/core';
 import {createPlatformServer} from '../../stand_ins/platform/platform_server.js';
 import {awaitInterrupt} from '../interrupts.js';
--- a/src/cli/commands/stand_in_service.ts
+++ b/src/cli/commands/stand_in_service.ts
@@ -1,4 +1,4 @@
-/** `stand-in service`: a plain service on loopback. */
+/** `stand-in service`: a stand-in for a plain service, on loopback. */
 import {Command, Flags} from '@oclif/core';
 import {startServiceServer} from '../../stand_ins/service/service_server.js';
 import {awaitInterrupt} from '../interrupts.js';
--- a/src/cli/commands/state.ts
+++ b/src/cli/commands/state.ts
@@ -1,10 +1,10 @@
-/** `state`: shows the state dump of a running instance. */
+/** `state`: prints the state dump of a running instance. */
 import {Args, Command, Flags} from '@oclif/core';
 import {request} from 'undici';
 
 const TIMEOUT_MS = 5000;
 
-/** Fetches the dump from the operators' address. */
+/** Fetches the dump from the instance's operators address. */
 export class StateCommand extends Command {
   static override summary = 'Show the state of a running instance';
   static override examples = [
--- a/src/cli/examples.test.ts
+++ b/src/cli/examples.test.ts
@@ -1,4 +1,4 @@
-/** The examples are complete: each is valid, and its instances start. */
+/** Checks that the settings and documents in examples/ are valid and their instances start. */
 import assert from 'node:assert/strict';
 import {readdirSync, readFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -22,14 +22,14 @@
   return readFileSync(path, 'utf8');
 }
 
-/** Free ports, so that tests run side by side. */
+/** Replaces the ports by 0, a free port, so that tests can run in parallel. */
 function replacePorts(text: string): string {
   return text.replace(/^(callers|operators|peers) = (.*):\d+$/gm, '$1 = $2:0');
 }
 
 describe('examples', () => {
   for (const [deployment, service] of Object.entries(DEPLOYMENTS)) {
-    it(`${deployment} starts with its document in force`, async () => {
+    it(`${deployment} starts with its document active`, async () => {
       const platform = createMemoryPlatform();
       await applyServiceDocument(
         platform.table,
--- a/src/cli/exit_codes.ts
+++ b/src/cli/exit_codes.ts
@@ -1,11 +1,11 @@
 /** Exit codes of the commands; docs/OPERATIONS.md lists them. */
 export const EXIT_CODES = {
-  /** The input is invalid, or the platform gave no answer. */
+  /** The input is invalid, or the platform did not respond. */
   failure: 1,
   /** The command line is wrong. */
   usage: 2,
-  /** Another operator was faster. */
+  /** Another operator changed the document first. */
   conflict: 3,
-  /** Done, but not every instance has confirmed it. */
+  /** The change is stored, but not every instance has confirmed it. */
   unconfirmed: 4,
 } as const;
--- a/src/cli/explain_log.test.ts
+++ b/src/cli/explain_log.test.ts
@@ -1,4 +1,4 @@
-/** From an id to its cause, over the logs of several instances. */
+/** Finds the log records of an id in the logs of several instances. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {explainId} from './explain_log.js';
@@ -16,29 +16,33 @@
     bundle: 'b1',
     item: 'i1',
     kind: 'interrupted',
-    msg: 'item try ended',
+    msg: 'item attempt ended',
   })}`,
-  makeLine(2, 'entry-1', {bundle: 'b1', item: 'i2', msg: 'item try ended'}),
-  makeLine(2, 'entry-1', {req: 'r1', msg: 'request answered'}),
+  makeLine(2, 'entry-1', {bundle: 'b1', item: 'i2', msg: 'item attempt ended'}),
+  makeLine(2, 'entry-1', {req: 'r1', msg: 'request completed'}),
   'not a record',
   '{"broken',
 ];
 
 describe('explaining an id', () => {
-  it('tells an item with its bundle, in order, and no other item', () => {
+  it('returns the records of an item and its bundle in order, and of no other item', () => {
     assert.deepEqual(
       explainId(LINES, 'i1').map(line => line.split(' ').slice(1, 4).join(' ')),
-      ['entry-1 bundle accepted', 'entry-1 item try', 'entry-2 bundle taken'],
+      [
+        'entry-1 bundle accepted',
+        'entry-1 item attempt',
+        'entry-2 bundle taken',
+      ],
     );
   });
 
-  it('tells a request alone, with what decided it', () => {
+  it('returns the records of a request with their fields, and nothing else', () => {
     assert.deepEqual(explainId(LINES, 'r1'), [
-      '2026-01-01T00:00:02.000Z entry-1 request answered req="r1"',
+      '2026-01-01T00:00:02.000Z entry-1 request completed req="r1"',
     ]);
   });
 
-  it('tells nothing of an id that no line names', () => {
+  it('returns nothing for an id that no record names', () => {
     assert.deepEqual(explainId(LINES, 'i'), []);
   });
 });
--- a/src/cli/explain_log.ts
+++ b/src/cli/explain_log.ts
@@ -1,4 +1,4 @@
-/** Finds the lines of a log that tell of one id, and words them for a person. */
+/** Selects the log records that concern one id and formats them for reading. */
 import * as z from 'zod';
 
 const recordSchema = z
@@ -17,7 +17,7 @@
 
 type LogRecord = z.infer<typeof recordSchema>;
 
-/** Lines may begin with what a collector put before the JSON. */
+/** Parses a log line; a log collector may have put a prefix before the JSON. */
 function parseLine(line: string): LogRecord | undefined {
   const start = line.indexOf('{');
   if (start < 0) return undefined;
@@ -28,31 +28,31 @@
   }
 }
 
-function isOf(record: LogRecord, id: string): boolean {
+function hasId(record: LogRecord, id: string): boolean {
   return record.req === id || record.item === id || record.bundle === id;
 }
 
 function formatRecord({name, msg, time, ...fields}: LogRecord): string {
-  const told = Object.entries(fields)
+  const formattedFields = Object.entries(fields)
     .filter(([, value]) => value !== undefined)
     .map(([key, value]) => `${key}=${JSON.stringify(value)}`);
-  return `${time} ${name} ${msg} ${told.join(' ')}`.trimEnd();
+  return `${time} ${name} ${msg} ${formattedFields.join(' ')}`.trimEnd();
 }
 
 /**
- * The lines that name `id` and those of the bundles it belongs to, by time.
- * What is no log record is passed over.
+ * Returns the records of `id` and those of the bundles it belongs to, ordered by time
+ * and formatted one a line. Lines that hold no log record are skipped.
  */
 export function explainId(lines: readonly string[], id: string): string[] {
   const records = lines.map(parseLine).filter(record => record !== undefined);
-  const own = records.filter(record => isOf(record, id));
-  const bundles = new Set(own.map(({bundle}) => bundle ?? id));
+  const matching = records.filter(record => hasId(record, id));
+  const bundles = new Set(matching.map(({bundle}) => bundle ?? id));
   const related = records.filter(
     record =>
-      own.includes(record) ||
+      matching.includes(record) ||
       (record.item === undefined &&
         [record.bundle, record.req].some(
-          named => named !== undefined && bundles.has(named),
+          loggedId => loggedId !== undefined && bundles.has(loggedId),
         )),
   );
   return related
--- a/src/cli/interrupts.ts
+++ b/src/cli/interrupts.ts
@@ -1,4 +1,4 @@
-/** Waiting for the operator or the platform to end a process. */
+/** Waits for the signal with which an operator or the platform ends a process. */
 
 const SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 
--- a/src/cli/jobs/jobs_client.ts
+++ b/src/cli/jobs/jobs_client.ts
@@ -1,4 +1,4 @@
-/** Calls of the `jobs` commands to an instance's callers address. */
+/** HTTP client with which the `jobs` commands call an instance's callers address. */
 import {createReadStream, readFileSync} from 'node:fs';
 import {request, type Dispatcher} from 'undici';
 import * as z from 'zod';
@@ -25,7 +25,7 @@
   }),
 });
 
-/** A job as an instance describes it. */
+/** A job as an instance returns it. */
 export type Job = z.infer<typeof jobSchema>;
 
 const fileSchema = z.looseObject({id: z.string(), items: z.number()});
@@ -37,7 +37,7 @@
   error: z.looseObject({message: z.string()}),
 });
 
-/** A call that the instance refused or that reached none. */
+/** The instance refused the call, or no connection to it succeeded. */
 export class JobsCallError extends Error {
   readonly exitCode = 1;
 
@@ -47,28 +47,28 @@
   }
 }
 
-/** What a job is created with. */
+/** Options of a new job. */
 export interface JobOptions {
   window: string;
   idempotencyKey: string | undefined;
 }
 
-/** Calls one instance with one key. All methods throw JobsCallError. */
+/** Calls one instance with one key. All methods reject with JobsCallError on failure. */
 export interface JobsClient {
-  /** Streams a bundle from disk; returns its file. */
+  /** Streams a bundle from disk; returns the file that the instance created from it. */
   upload(path: string): Promise<{id: string; items: number}>;
   create(fileId: string, options: JobOptions): Promise<Job>;
   get(jobId: string): Promise<Job>;
   cancel(jobId: string): Promise<Job>;
   /** The newest jobs, at most 100. */
   list(): Promise<Job[]>;
-  /** The output of a completed job as it arrives. */
+  /** Streams the output of a completed job. */
   openOutput(jobId: string): Promise<AsyncIterable<Buffer>>;
 }
 
 /**
- * The key comes from a file or the environment, never from an argument:
- * arguments show in the machine's list of processes.
+ * Reads the key from a file or the environment. It is never an argument of the command,
+ * because arguments are visible in the machine's process list.
  */
 export function readKey(keyFile: string | undefined): string {
   const key = keyFile
@@ -146,6 +146,6 @@
   try {
     return refusalSchema.parse(JSON.parse(text)).error.message;
   } catch {
-    return `the instance answered with status ${answer.statusCode}`;
+    return `the instance responded with status ${answer.statusCode}`;
   }
 }
--- a/src/cli/jobs/jobs_command.ts
+++ b/src/cli/jobs/jobs_command.ts
@@ -1,4 +1,4 @@
-/** What the `jobs` commands share: flags, client and the wait for an end. */
+/** Flags, client and progress display that the `jobs` commands share. */
 import {Command, Flags} from '@oclif/core';
 import cliProgress from 'cli-progress';
 import {
@@ -10,7 +10,7 @@
   type JobsClient,
 } from './jobs_client.js';
 
-const POLL_MS = 2000;
+const POLL_INTERVAL_MS = 2000;
 
 /** Flags of every `jobs` command. */
 export const JOBS_FLAGS = {
@@ -24,7 +24,7 @@
   }),
 };
 
-/** Base of the `jobs` commands. */
+/** Base class of the `jobs` commands. */
 export abstract class JobsCommand extends Command {
   static override enableJsonFlag = true;
 
@@ -35,14 +35,17 @@
     return createJobsClient(flags.address, readKey(flags['key-file']));
   }
 
-  /** Shows progress on standard error until the job has ended. */
+  /**
+   * Polls the job until it has ended and shows progress on standard error. Sets exit
+   * code 1 if the job did not complete.
+   */
   protected async awaitEnd(client: JobsClient, job: Job): Promise<Job> {
-    const bar = this.jsonEnabled() ? undefined : startBar(job);
+    const bar = this.jsonEnabled() ? undefined : startProgressBar(job);
     let current = job;
     while (current.status === 'in_progress') {
-      await new Promise(resolve => setTimeout(resolve, POLL_MS));
+      await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
       current = await client.get(job.id);
-      bar?.update(countDone(current));
+      bar?.update(countFinished(current));
     }
     bar?.stop();
     if (current.status !== 'completed') process.exitCode = 1;
@@ -57,17 +60,17 @@
   }
 }
 
-function startBar(job: Job): cliProgress.SingleBar {
+function startProgressBar(job: Job): cliProgress.SingleBar {
   const bar = new cliProgress.SingleBar({
     format: '{bar} {percentage}% | {value}/{total} items | {eta_formatted}',
     stream: process.stderr,
     hideCursor: true,
   });
-  bar.start(job.request_counts.total, countDone(job));
+  bar.start(job.request_counts.total, countFinished(job));
   return bar;
 }
 
-function countDone({request_counts: counts}: Job): number {
+function countFinished({request_counts: counts}: Job): number {
   return counts.completed + counts.failed;
 }
 
--- a/src/cli/operator_commands.test.ts
+++ b/src/cli/operator_commands.test.ts
@@ -1,4 +1,4 @@
-/** The operators' commands as a whole session, against two instances. */
+/** Runs the operators' commands one after another as processes, against two instances. */
 import assert from 'node:assert/strict';
 import {execFile} from 'node:child_process';
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
@@ -68,8 +68,8 @@
       );
     }
     tested.memory.setInstances(
-      instances.map(({peersAddress}, at) =>
-        listEntry(`entry-${at + 1}`, peersAddress),
+      instances.map(({peersAddress}, index) =>
+        listEntry(`entry-${index + 1}`, peersAddress),
       ),
     );
   });
@@ -80,7 +80,7 @@
     rmSync(directory, {recursive: true});
   });
 
-  it('apply a document, wait for it and show its history', async () => {
+  it('apply a document, wait until it is active and show its history', async () => {
     const first = await run('apply', documentFile, '--wait', '--author', 'ana');
     assert.equal(first.code, 0, first.stderr);
     assert.equal(
@@ -90,9 +90,9 @@
     const again = await run('apply', documentFile, '--json');
     assert.equal(JSON.parse(again.stdout).kind, 'unchanged');
     writeFileSync(documentFile, ENGINE_DOCUMENT.replace('50/s', '60/s'));
-    const late = await run('apply', documentFile, '--base', '0');
-    assert.equal(late.code, EXIT_CODES.conflict);
-    assert.match(late.stderr, /version 1 by ana is in force/);
+    const conflicting = await run('apply', documentFile, '--base', '0');
+    assert.equal(conflicting.code, EXIT_CODES.conflict);
+    assert.match(conflicting.stderr, /version 1 by ana is in force/);
     const shown = await run('services', 'show', 'drum-reader');
     assert.equal(shown.stdout, ENGINE_DOCUMENT);
     const history = await run('services', 'history', 'drum-reader', '--json');
@@ -102,14 +102,14 @@
     );
   });
 
-  it('refuse an invalid document by section and key', async () => {
+  it('reject an invalid document and name the section and key', async () => {
     writeFileSync(documentFile, ENGINE_DOCUMENT.replace('50/s', 'fast'));
     const refused = await run('apply', documentFile);
     assert.equal(refused.code, EXIT_CODES.failure);
     assert.match(refused.stderr, /account\.gate \/ rate/);
   });
 
-  it('give and withdraw a key, and name who has not confirmed', async () => {
+  it('give and withdraw a key, and name the instances that have not confirmed', async () => {
     const given = JSON.parse(
       (await run('key', 'give', 'gate', '--wait', '--json')).stdout,
     );
@@ -119,10 +119,10 @@
     const withdrawn = await run('key', 'withdraw', given.keyId);
     assert.equal(withdrawn.code, 0, withdrawn.stderr);
     assert.match(withdrawn.stdout, /in force on 2 of 2 instances/);
-    // Asked again once it is in force: how fast a busy machine's instances
-    // confirm is then no part of what is tested.
-    const gone = listEntry('entry-3', '127.0.0.1:1');
-    tested.memory.setInstances([...tested.memory.getInstances(), gone]);
+    // The withdrawal is repeated when it is already active on both instances, so that
+    // the 1 s timeout does not depend on how fast they confirm on a busy machine.
+    const unreachable = listEntry('entry-3', '127.0.0.1:1');
+    tested.memory.setInstances([...tested.memory.getInstances(), unreachable]);
     const args = ['key', 'withdraw', given.keyId, '--timeout', '1'];
     const again = await run(...args);
     assert.equal(again.code, EXIT_CODES.unconfirmed);
@@ -132,7 +132,7 @@
     assert.equal(missing.code, EXIT_CODES.failure);
   });
 
-  it('say what is known when the platform is out', async () => {
+  it('report that the platform did not answer when it is down', async () => {
     tested.memory.faults.down = true;
     const failed = await run('key', 'list');
     tested.memory.faults.down = false;
--- a/src/cli/operator_session.ts
+++ b/src/cli/operator_session.ts
@@ -1,6 +1,6 @@
 /**
- * What an operator's command works with: the platform and the peers' key of an
- * instance's settings file.
+ * Runs an operator's command against the platform and the instances, which it reaches
+ * with the platform section and the peer key of an instance's settings file.
  */
 import {readFileSync} from 'node:fs';
 import {Flags, type Command} from '@oclif/core';
@@ -19,7 +19,7 @@
 import {StoreError} from '../stores/table_store.js';
 import {EXIT_CODES} from './exit_codes.js';
 
-/** Flags of every command that speaks to the platform. */
+/** Flags of every command that connects to the platform. */
 export const OPERATOR_FLAGS = {
   settings: Flags.string({
     char: 's',
@@ -29,7 +29,7 @@
   }),
 };
 
-/** Flags of the commands that wait for the instances. */
+/** Flags of the commands that wait until the instances have applied a change. */
 export const WAIT_FLAGS = {
   timeout: Flags.integer({
     default: 15,
@@ -38,17 +38,23 @@
   }),
 };
 
-/** An operator at work. */
+/** What one operator command can use while it runs. */
 export interface OperatorSession {
   platform: Platform;
-  /** Waits until each live instance has the change in force. */
+  /**
+   * Waits until each live instance has applied the change, at most `timeoutS`;
+   * the reports say which have not.
+   */
   awaitInstances(
     change: {generation: number; service?: string},
     timeoutS: number,
   ): Promise<InstanceReport[]>;
 }
 
-/** Unlike the instances' clock, keeps the process alive while it waits. */
+/**
+ * A clock whose timers keep the process alive, unlike those of the instances' clock:
+ * a command has to run until its wait ends.
+ */
 function createForegroundClock(): Clock {
   return {
     now: () => performance.now(),
@@ -60,7 +66,10 @@
   };
 }
 
-/** Runs `task` and ends all connections; failures end the command. */
+/**
+ * Runs `task`, then closes all connections. Invalid settings and store errors end the
+ * command with a message and an exit code.
+ */
 export async function runOperatorSession<Result>(
   command: Command,
   settingsFile: string,
@@ -129,14 +138,17 @@
   return `the platform gave no answer (${message}); ${outcome}`;
 }
 
-/** On a terminal only: a script reads the result. */
+/** Printed on a terminal only, so that scripts get nothing but the result. */
 function printProgress(confirmed: number, all: number) {
   if (!process.stderr.isTTY) return;
   process.stderr.write(`\r${confirmed} of ${all} instances`);
   if (confirmed === all) process.stderr.write('\n');
 }
 
-/** Prints the instances that have not confirmed; returns whether all have. */
+/**
+ * Prints how many instances have confirmed a change and which have not, and sets the
+ * exit code if any is missing. Returns whether all have confirmed.
+ */
 export function reportInstances(
   command: Command,
   reports: readonly InstanceReport[],
--- a/src/cli/run_cli.test.ts
+++ b/src/cli/run_cli.test.ts
@@ -1,4 +1,4 @@
-/** The command line as its users meet it, by a process of its own. */
+/** Runs the command line in a separate process, as users do. */
 import assert from 'node:assert/strict';
 import {execFile} from 'node:child_process';
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
@@ -39,7 +39,7 @@
     }
   });
 
-  it('names what is wrong with a command line, and exits with 2', async () => {
+  it('reports an invalid command line and exits with 2', async () => {
     const unknown = await runCommand('serv');
     assert.equal(unknown.code, 2);
     assert.match(unknown.errors, /there is no command 'serv'/);
@@ -48,7 +48,7 @@
     assert.match(missing.errors, /settings/);
   });
 
-  it('refuses settings before anything starts', async () => {
+  it('rejects invalid settings before anything starts', async () => {
     const path = findSourcePath(
       '..',
       'examples',
@@ -61,9 +61,9 @@
     assert.match(errors, /\[service\] is not known here/);
   });
 
-  it('ends when an address is taken, and names it', async () => {
-    // An operator would see a process that runs and answers nobody: its peers'
-    // address is bound, its callers' is another process's.
+  it('exits when an address is in use, and names the address', async () => {
+    // Guards against a process that stays running without serving callers: its peers
+    // address is bound, while another process holds its callers address.
     const taken = createServer();
     const address = await listenServer(taken, 'test', '127.0.0.1', 0);
     const folder = mkdtempSync(join(tmpdir(), 'mulberryrouter-cli-'));
--- a/src/cli/run_cli.ts
+++ b/src/cli/run_cli.ts
@@ -1,6 +1,6 @@
 /**
- * The command line without command files: one executable has no directory to
- * load them from, so the loader is given the table of commands.
+ * Runs the command line with oclif. oclif loads commands from a directory, which a
+ * single executable does not have, so it is given a plugin built from the command table.
  */
 import {Config, Help, type Interfaces, type Command} from '@oclif/core';
 import {COMMANDS} from './commands.js';
@@ -26,7 +26,7 @@
 
 const EXIT_USAGE = 2;
 
-/** Runs the command that `argv` names; the exit code is left in the process. */
+/** Runs the command that `argv` names and sets `process.exitCode`; never rejects. */
 export async function runCli(argv: readonly string[]): Promise<void> {
   const config = await createConfig();
   const {id, rest} = findCommand(argv);
@@ -49,7 +49,7 @@
   return config;
 }
 
-/** The plugin interface is wide; these are the members the loader reads. */
+/** Builds a plugin with only those members of oclif's interface that its loader reads. */
 function buildPlugin(): never {
   const commands = Object.entries(COMMANDS).map(([id, command]) => ({
     id,
@@ -61,11 +61,11 @@
     summary: command.summary,
     description: command.description,
     examples: command.examples ?? [],
-    flags: withNames({...command.baseFlags, ...command.flags}),
-    args: withNames(command.args ?? {}),
+    flags: addNames({...command.baseFlags, ...command.flags}),
+    args: addNames(command.args ?? {}),
     strict: command.strict,
     enableJsonFlag: command.enableJsonFlag,
-    load: async () => withId(command, id),
+    load: async () => setId(command, id),
   }));
   return {
     ...PACKAGE,
@@ -85,8 +85,8 @@
   } as unknown as never;
 }
 
-/** The help page shows each flag and argument by its own name. */
-function withNames<Entry extends object>(
+/** Adds to each flag and argument its name, which the help page shows. */
+function addNames<Entry extends object>(
   entries: Record<string, Entry>,
 ): Record<string, Entry> {
   return Object.fromEntries(
@@ -94,41 +94,43 @@
   );
 }
 
-function withId(command: typeof Command, id: string): typeof Command {
+function setId(command: typeof Command, id: string): typeof Command {
   command.id = id;
   return command;
 }
 
-/** The longest run of leading words that names a command. */
+/** Finds the command with the longest id, of at most two words, that `argv` starts with. */
 function findCommand(argv: readonly string[]): {
   id: string | undefined;
   rest: string[];
 } {
-  for (let words = Math.min(2, argv.length); words > 0; words--) {
-    const id = argv.slice(0, words).join(':');
-    if (id in COMMANDS) return {id, rest: argv.slice(words)};
+  for (let wordCount = Math.min(2, argv.length); wordCount > 0; wordCount--) {
+    const id = argv.slice(0, wordCount).join(':');
+    if (id in COMMANDS) return {id, rest: argv.slice(wordCount)};
   }
   return {id: undefined, rest: [...argv]};
 }
 
 async function printHelp(config: Config, argv: readonly string[]) {
-  const wanted = argv.filter(word => !word.startsWith('-') && word !== 'help');
-  const id = wanted.join(':');
+  const topicWords = argv.filter(
+    word => !word.startsWith('-') && word !== 'help',
+  );
+  const id = topicWords.join(':');
   const isKnown = Object.keys(COMMANDS).some(
     known => known === id || known.startsWith(`${id}:`),
   );
-  if (wanted.length > 0 && !isKnown) {
-    throw new UsageError(`there is no command '${wanted.join(' ')}'`);
+  if (topicWords.length > 0 && !isKnown) {
+    throw new UsageError(`there is no command '${topicWords.join(' ')}'`);
   }
-  await new Help(config).showHelp(wanted.length > 0 ? [id] : []);
+  await new Help(config).showHelp(topicWords.length > 0 ? [id] : []);
 }
 
-/** A command line that names nothing known. */
+/** The command line names no known command or topic. */
 class UsageError extends Error {
   readonly exitCode = EXIT_USAGE;
 }
 
-/** One line for what the user can mend; exit codes are in docs/OPERATIONS.md. */
+/** Prints a failure as one line, without a stack; exit codes are in docs/OPERATIONS.md. */
 function printFailure(error: unknown) {
   const failure = error as {
     message?: string;
@@ -138,8 +140,8 @@
   const exitCode = failure.exitCode ?? failure.oclif?.exit ?? 1;
   process.exitCode = exitCode;
   if (exitCode === 0) return;
-  // A command that failed half way may have left servers listening, which
-  // would keep the process alive, doing nothing.
+  // A command that failed after it opened servers may have left them listening, which
+  // would keep the process alive without any use.
   process.stderr.write(`mulberryrouter: ${failure.message ?? error}\n`, () =>
     process.exit(exitCode),
   );
--- a/src/cli/settings_kind.ts
+++ b/src/cli/settings_kind.ts
@@ -1,9 +1,12 @@
-/** Which kind of instance a settings file is for. */
+/** Detects which kind of instance a settings file is for. */
 
-/** `gateway`: on the operators' platform; `instance`: on table and object services. */
+/**
+ * `gateway` runs on the operators' platform, `instance` on a table service and an object
+ * service.
+ */
 export type SettingsKind = 'gateway' | 'instance';
 
-/** Told by the one key of the platform's section that only a gateway has. */
+/** Only a gateway has the key `store` in the section `[platform]`. */
 export function findSettingsKind(text: string): SettingsKind {
   const section = /^\s*\[platform\]([^[]*)/m.exec(text)?.[1] ?? '';
   return /^\s*store\s*=/m.test(section) ? 'gateway' : 'instance';
