--- a/src/tools/bench_batch/bench_batch.ts
+++ b/src/tools/bench_batch/bench_batch.ts
@@ -1,7 +1,7 @@
 /**
- * Measures a bundle from upload to output on one instance's batch, over the
- * real platform adapters and a platform stand-in in a process of its own, with
- * an engine at the interface that runs requests.
+ * Measures a bundle from upload to output with the batch module of one instance. It uses
+ * the real platform adapters against a platform stand-in in a separate process, and a
+ * fake in place of the module that runs requests.
  */
 import {fork} from 'node:child_process';
 import {once} from 'node:events';
@@ -27,7 +27,7 @@
   countLinesInOrder,
   createFakeExecution,
   generateBundle,
-  startMemoryWatch,
+  startMemorySampler,
 } from './bench_parts.js';
 import {
   buildCountedPlatform,
@@ -38,8 +38,8 @@
 const DEFAULT_ITEMS = 290_000;
 const WAIT_MS = 50;
 const MIB = 1024 ** 2;
-const ITEMS_A_DAY = 420_000_000;
-const SECONDS_A_DAY = 86_400;
+const ITEMS_PER_DAY = 420_000_000;
+const SECONDS_PER_DAY = 86_400;
 const DAY_MS = 86_400_000;
 const PLATFORM_ARGUMENT = '--platform';
 const ACCOUNT = 'gate';
@@ -72,7 +72,7 @@
   const lease = createInstanceLease(platform.table, 'run-bench');
   const batch = await startBatch(clock, platform, lease);
   const stopPolling = startPolling(clock, batch, lease);
-  const memory = startMemoryWatch();
+  const memory = startMemorySampler();
   const cpu = process.cpuUsage();
 
   async function measurePhase(task: () => Promise<void>): Promise<Phase> {
@@ -132,14 +132,14 @@
   });
 }
 
-/** Polls as an instance's supervisor does; returns what ends it. */
+/** Polls as an instance's supervisor does; returns a function that stops it. */
 function startPolling(
   clock: Clock,
   batch: Batch,
   lease: InstanceLease,
 ): () => void {
   let isStopped = false;
-  async function pollOn() {
+  async function pollUntilStopped() {
     while (!isStopped) {
       if (!lease.isHeld(clock.now() + DAY_MS / 10_000)) {
         await lease.renew(clock.now());
@@ -148,7 +148,7 @@
       await waitFor(clock, BATCH_POLL_MS);
     }
   }
-  void pollOn();
+  void pollUntilStopped();
   return () => {
     isStopped = true;
   };
@@ -194,7 +194,10 @@
   return job.id;
 }
 
-/** Asks no more than once a second, since its reads are counted too. */
+/**
+ * Waits until the job has ended. It reads the job only once a second, because these
+ * reads are counted too.
+ */
 async function awaitEnd(clock: Clock, batch: Batch, jobId: string) {
   for (let waits = 1; ; waits++) {
     await waitFor(clock, WAIT_MS);
@@ -212,8 +215,8 @@
     all[name] += work.calls[name];
   }
   const perThousand = (count: number) => (count / thousands).toFixed(2);
-  const perSecondAtSize = (count: number) =>
-    (((count / items) * ITEMS_A_DAY) / SECONDS_A_DAY).toFixed(1);
+  const perSecondAtDailyVolume = (count: number) =>
+    (((count / items) * ITEMS_PER_DAY) / SECONDS_PER_DAY).toFixed(1);
   const rows = [
     ['items', String(items)],
     ['output lines, in order', String(lines)],
@@ -225,7 +228,7 @@
     ['memory peak, MiB', (peak / MIB).toFixed(0)],
     ...Object.entries(all).map(([name, count]) => [
       `${name}: for 1,000 items; a second at 420 million items a day`,
-      `${perThousand(count)}; ${perSecondAtSize(count)}`,
+      `${perThousand(count)}; ${perSecondAtDailyVolume(count)}`,
     ]),
   ];
   for (const [name, value] of rows) process.stdout.write(`${name}: ${value}\n`);
--- a/src/tools/bench_batch/bench_engines.ts
+++ b/src/tools/bench_batch/bench_engines.ts
@@ -1,6 +1,6 @@
 /**
- * Measures a bundle through a whole instance: submitted over HTTP, run on
- * model engine stand-ins, with platform and engines in a process of their own.
+ * Measures a bundle through a complete instance. It is submitted over HTTP and run on
+ * model engine stand-ins; platform and engines run in a separate process.
  */
 import {fork} from 'node:child_process';
 import {once} from 'node:events';
@@ -23,12 +23,12 @@
 import {
   countLinesInOrder,
   generateBundle,
-  startMemoryWatch,
+  startMemorySampler,
 } from './bench_parts.js';
 
 const DEFAULT_ITEMS = 10_000;
 const ENGINES = 4;
-const POLL_MS = 250;
+const POLL_INTERVAL_MS = 250;
 const MIB = 1024 ** 2;
 const STAND_INS_ARGUMENT = '--stand-ins';
 
@@ -51,7 +51,7 @@
   const {secret} = await giveKey(platform.table, 'gate');
   const log = createSilentLog();
   const instance = await startInstance({settings, platform, clock, log});
-  const memory = startMemoryWatch();
+  const memory = startMemorySampler();
   const cpu = process.cpuUsage();
   const client = createJobsClient(instance.callersAddress, secret);
   const fileId = await uploadBundle(instance.callersAddress, secret, items);
@@ -61,7 +61,7 @@
     idempotencyKey: 'bench',
   });
   while (job.status === 'in_progress') {
-    await waitFor(clock, POLL_MS);
+    await waitFor(clock, POLL_INTERVAL_MS);
     job = await client.get(job.id);
   }
   const seconds = (clock.now() - startedAt) / 1000;
--- a/src/tools/bench_batch/bench_parts.ts
+++ b/src/tools/bench_batch/bench_parts.ts
@@ -1,4 +1,4 @@
-/** Parts of the batch bench: the bundle, the engine, memory, and output. */
+/** Parts of the batch benchmarks: bundle, fake execution, memory sampler, output check. */
 import {setTimeout as waitMs} from 'node:timers/promises';
 import {MAX_LINE_BYTES} from '../../instance/batch/constants.js';
 import {readLines} from '../../instance/batch/line_reader.js';
@@ -10,7 +10,7 @@
 const PROMPT = 'read the label and the residue class of the drum. '.repeat(4);
 const ANSWER = 'accepted for cleaning, residue class three; '.repeat(4);
 
-/** Lines of a bundle of `items`, in chunks as a connection delivers them. */
+/** Generates a bundle of `items` lines, in chunks as a connection delivers them. */
 export async function* generateBundle(items: number): AsyncGenerator<Buffer> {
   for (let from = 0; from < items; from += CHUNK_LINES) {
     const to = Math.min(items, from + CHUNK_LINES);
@@ -33,7 +33,7 @@
   return `${JSON.stringify(item)}\n`;
 }
 
-/** An engine at the interface that takes ITEM_MS and has room for all. */
+/** Creates an execution that answers each request after ITEM_MS, without a limit. */
 export function createFakeExecution(): Execution {
   return {
     async collect({requestId, model}, onStarted) {
@@ -45,19 +45,19 @@
       return {status: 200, headers: {}, payloads};
     },
     run() {
-      throw new Error('batch reads whole answers');
+      throw new Error('the batch module must call collect, not run');
     },
     describeState: () => ({}),
   };
 }
 
-/** Highest resident memory while it runs, in bytes. */
-export interface MemoryWatch {
+/** Samples the resident memory of this process, in bytes. */
+export interface MemorySampler {
   stop(): {idle: number; peak: number};
 }
 
-/** Samples every SAMPLE_MS. */
-export function startMemoryWatch(): MemoryWatch {
+/** Takes a sample every SAMPLE_MS until it is stopped. */
+export function startMemorySampler(): MemorySampler {
   const idle = process.memoryUsage.rss();
   let peak = idle;
   const timer = setInterval(() => {
@@ -71,7 +71,7 @@
   };
 }
 
-/** Reads an output, counting its lines; throws when one is out of its place. */
+/** Reads an output and counts its lines; throws if one is out of order. */
 export async function countLinesInOrder(
   content: AsyncIterable<Buffer>,
 ): Promise<number> {
--- a/src/tools/bench_batch/counted_platform.ts
+++ b/src/tools/bench_batch/counted_platform.ts
@@ -1,7 +1,7 @@
-/** A platform that counts the calls that pass through it. */
+/** Wraps a platform and counts the calls to its table and object store. */
 import type {Platform} from '../../stores/platform.js';
 
-/** Calls since the last reset. */
+/** Number of calls since the last reset. */
 export interface PlatformCalls {
   tableReads: number;
   transactions: number;
@@ -11,7 +11,6 @@
   objectWrites: number;
 }
 
-/** No calls yet. */
 export function createPlatformCalls(): PlatformCalls {
   return {
     tableReads: 0,
@@ -22,7 +21,7 @@
   };
 }
 
-/** `platform`, whose calls are counted in `calls`. */
+/** Returns the platform with its calls counted in `calls`. */
 export function buildCountedPlatform(
   {table, objects, instances}: Platform,
   calls: PlatformCalls,
--- a/src/tools/callers/balancer.ts
+++ b/src/tools/callers/balancer.ts
@@ -1,55 +1,58 @@
 /**
- * What the platform's balancer does for callers: hands out instances in turn
- * and passes over those that refused a connection a moment ago.
+ * Stands in for the platform's load balancer: picks instances round robin and skips
+ * those that have just refused a connection.
  */
 
-/** How long an instance that refused a connection is passed over, in ms. */
-const PASSED_OVER_MS = 2000;
+/** How long an instance is skipped after it refused a connection. */
+const SKIP_REFUSED_MS = 2000;
 
-/** Instances in turn. */
+/** Picks instances round robin. */
 export interface Balancer {
-  /** Address of the next instance. */
+  /** Returns the address of the next instance. */
   pick(now: number): string;
-  /** The instance took no connection. */
+  /** Notes that the instance refused a connection. */
   markRefused(address: string, now: number): void;
 }
 
-/** `addresses` are the callers' addresses of the instances. */
+/** `addresses` are the callers addresses of the instances. */
 export function createBalancer(addresses: readonly string[]): Balancer {
-  const passedOverUntil = new Map<string, number>();
+  const skippedUntil = new Map<string, number>();
   let turn = 0;
 
   return {
     pick(now) {
-      for (let tries = 0; tries < addresses.length; tries++) {
+      for (let attempt = 0; attempt < addresses.length; attempt++) {
         const address = addresses[turn++ % addresses.length];
-        if ((passedOverUntil.get(address) ?? 0) <= now) return address;
+        if ((skippedUntil.get(address) ?? 0) <= now) return address;
       }
       return addresses[turn++ % addresses.length];
     },
     markRefused(address, now) {
-      passedOverUntil.set(address, now + PASSED_OVER_MS);
+      skippedUntil.set(address, now + SKIP_REFUSED_MS);
     },
   };
 }
 
-const MAX_CONNECT_TRIES = 3;
+const MAX_CONNECT_ATTEMPTS = 3;
 const UNCONNECTED_CODES = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT']);
 
-/** A refused connection has sent nothing, so the next instance is tried. */
+/**
+ * Calls `send` with an instance's address. If the connection was refused, nothing was
+ * sent, so the next instance is tried, up to MAX_CONNECT_ATTEMPTS in all.
+ */
 export async function sendThrough<Answer>(
   balancer: Balancer,
   now: () => number,
   send: (address: string) => Promise<Answer>,
 ): Promise<Answer> {
-  for (let tries = 1; ; tries++) {
+  for (let attempt = 1; ; attempt++) {
     const address = balancer.pick(now());
     try {
       return await send(address);
     } catch (error) {
       const {code} = error as {code?: string};
-      const unconnected = UNCONNECTED_CODES.has(code ?? '');
-      if (!unconnected || tries === MAX_CONNECT_TRIES) throw error;
+      const isUnconnected = UNCONNECTED_CODES.has(code ?? '');
+      if (!isUnconnected || attempt === MAX_CONNECT_ATTEMPTS) throw error;
       balancer.markRefused(address, now());
     }
   }
--- a/src/tools/callers/bundle.ts
+++ b/src/tools/callers/bundle.ts
@@ -1,17 +1,17 @@
-/** A bundle as its planner submits it, and the check that it came back whole. */
+/** Submits a bundle over HTTP as a caller does, and checks that its output is complete. */
 import {request} from 'undici';
 import {sendThrough, type Balancer} from './balancer.js';
 
-const POLL_MS = 250;
+const POLL_INTERVAL_MS = 250;
 
-/** The connection of a planner. */
+/** How a caller of bundles reaches the fleet. */
 export interface BundleCaller {
   balancer: Balancer;
   key: string;
   now: () => number;
 }
 
-/** What is submitted. */
+/** A bundle to submit. */
 export interface Bundle {
   model: string;
   items: number;
@@ -27,7 +27,10 @@
   failed: number;
 }
 
-/** Faults of an output; all zero when each item has one line, in order. */
+/**
+ * Faults of an output. All but `lines` are 0 when each item has exactly one line, in
+ * order and without an error.
+ */
 export interface OutputCheck {
   lines: number;
   missing: number;
@@ -36,14 +39,14 @@
   errors: number;
 }
 
-interface JobAnswer {
+interface JobResponse {
   id: string;
   status: string;
   output_file_id: string | null;
   request_counts: {total: number; completed: number; failed: number};
 }
 
-/** Lines of a bundle: item `n` asks for manifest `n`. */
+/** Returns the lines of a bundle; the prompt of item `n` is `manifest n`. */
 export function buildBundleLines({model, items, maxTokens}: Bundle): string {
   const lines = Array.from({length: items}, (_, index) =>
     JSON.stringify({
@@ -60,7 +63,10 @@
   return lines.join('\n');
 }
 
-/** Uploads and submits; returns the job's id. Throws with the refusal. */
+/**
+ * Uploads and submits a bundle; returns the job's id. Throws an error with status and
+ * body of a response other than 200.
+ */
 export async function sendBundle(
   caller: BundleCaller,
   bundle: Bundle,
@@ -69,7 +75,7 @@
     body: buildBundleLines(bundle),
     headers: {'content-type': 'application/jsonl'},
   });
-  const job = await sendCall<JobAnswer>(caller, 'POST', '/v1/batches', {
+  const job = await sendCall<JobResponse>(caller, 'POST', '/v1/batches', {
     body: JSON.stringify({
       input_file_id: file.id,
       endpoint: '/v1/chat/completions',
@@ -83,12 +89,16 @@
   return job.id;
 }
 
-/** Counts of a job now. */
+/** Fetches the present counts of a job. */
 export async function fetchProgress(
   caller: BundleCaller,
   jobId: string,
 ): Promise<BundleProgress> {
-  const job = await sendCall<JobAnswer>(caller, 'GET', `/v1/batches/${jobId}`);
+  const job = await sendCall<JobResponse>(
+    caller,
+    'GET',
+    `/v1/batches/${jobId}`,
+  );
   return {status: job.status, ...job.request_counts};
 }
 
@@ -102,12 +112,12 @@
   while (caller.now() < until) {
     const progress = await fetchProgress(caller, jobId).catch(() => undefined);
     if (progress?.status === 'completed') return progress;
-    await new Promise(resolve => setTimeout(resolve, POLL_MS));
+    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
   }
   return undefined;
 }
 
-/** Reads the output and looks for what is missing, doubled or out of place. */
+/** Reads the output and counts items that are missing, duplicated or out of order. */
 export async function checkOutput(
   caller: BundleCaller,
   jobId: string,
--- a/src/tools/callers/caller_measures.ts
+++ b/src/tools/callers/caller_measures.ts
@@ -1,29 +1,29 @@
-/** What callers got, counted by client account. */
+/** Counts outcomes and latencies of callers' requests by client account. */
 import {build, type Histogram} from 'hdr-histogram-js';
-import type {QuestionOutcome, QuestionResult} from './question.js';
+import type {RequestOutcome, RequestResult} from './online_request.js';
 
-/** Highest time to first token that is told apart, in ms. */
-const HIGHEST_MS = 120_000;
+/** Longest time to first token that the histogram can record, in ms. */
+const MAX_FIRST_TOKEN_MS = 120_000;
 
 /** Counts and times of one phase. */
 export interface CallerMeasures {
-  /** `isInside`: the account's ideal bucket would have granted it. */
-  record(account: string, result: QuestionResult, isInside: boolean): void;
+  /** `isWithinRate`: the account's ideal bucket would have granted the request. */
+  record(account: string, result: RequestResult, isWithinRate: boolean): void;
   summarize(): CallerSummary;
 }
 
 /** The figures of a phase. Times in ms. */
 export interface CallerSummary {
   sent: number;
-  outcomes: Partial<Record<QuestionOutcome, number>>;
+  outcomes: Partial<Record<RequestOutcome, number>>;
   firstToken: {p50: number; p95: number; p99: number};
-  /** Answered share of what was sent, by account. */
+  /** Share of the sent requests that were answered, by account. */
   answeredShares: Record<string, number>;
-  /** Refusals beyond those that ideal buckets would have given. */
+  /** Refusals in excess of those that the account's ideal bucket gives, by account. */
   wrongfulRefusals: Record<string, number>;
-  /** Worst account's answered share over the median account's. */
+  /** The lowest answered share of any account divided by the median share. */
   worstOverMedian: number;
-  /** How often each refusal and failure came, by what it said. */
+  /** Number of refusals and failures, by their text. */
   details: Record<string, number>;
 }
 
@@ -31,31 +31,36 @@
   sent: number;
   answered: number;
   refused: number;
-  outside: number;
+  overRate: number;
 }
 
-const REFUSALS: ReadonlySet<QuestionOutcome> = new Set(['limited', 'refused']);
+const REFUSALS: ReadonlySet<RequestOutcome> = new Set(['limited', 'refused']);
 
-const NO_COUNTS: AccountCounts = {sent: 0, answered: 0, refused: 0, outside: 0};
+const NO_COUNTS: AccountCounts = {
+  sent: 0,
+  answered: 0,
+  refused: 0,
+  overRate: 0,
+};
 
-/** Starts at zero. */
+/** Creates empty measures for one phase. */
 export function createCallerMeasures(): CallerMeasures {
-  const outcomes: Partial<Record<QuestionOutcome, number>> = {};
+  const outcomes: Partial<Record<RequestOutcome, number>> = {};
   const accounts = new Map<string, AccountCounts>();
   const details: Record<string, number> = {};
   const firstToken: Histogram = build({
-    highestTrackableValue: HIGHEST_MS * 1000,
+    highestTrackableValue: MAX_FIRST_TOKEN_MS * 1000,
     numberOfSignificantValueDigits: 3,
   });
 
   return {
-    record(account, {outcome, firstTokenMs, detail}, isInside) {
+    record(account, {outcome, firstTokenMs, detail}, isWithinRate) {
       outcomes[outcome] = (outcomes[outcome] ?? 0) + 1;
       const counts = accounts.get(account) ?? {...NO_COUNTS};
       accounts.set(account, counts);
       counts.sent++;
       if (REFUSALS.has(outcome)) counts.refused++;
-      if (!isInside) counts.outside++;
+      if (!isWithinRate) counts.overRate++;
       if (outcome === 'answered') counts.answered++;
       else details[detail] = (details[detail] ?? 0) + 1;
       if (firstTokenMs !== undefined) {
@@ -76,9 +81,9 @@
         firstToken: {p50: getMs(50), p95: getMs(95), p99: getMs(99)},
         answeredShares: Object.fromEntries(shares),
         wrongfulRefusals: Object.fromEntries(
-          [...accounts].map(([account, {refused, outside}]) => [
+          [...accounts].map(([account, {refused, overRate}]) => [
             account,
-            Math.max(0, refused - outside),
+            Math.max(0, refused - overRate),
           ]),
         ),
         worstOverMedian: median > 0 ? sorted[0] / median : 0,
--- a/src/tools/callers/ideal_bucket.ts
+++ b/src/tools/callers/ideal_bucket.ts
@@ -1,15 +1,15 @@
 /**
- * The bucket an account would have if one process saw all its requests: what it
- * grants is inside the account's rate, so a refusal there is wrongful.
+ * The token bucket that an account would have if one process received all its requests.
+ * A request that it grants is within the account's rate, so refusing it is wrongful.
  */
 
 /** One account's ideal bucket. Times in ms. */
 export interface IdealBucket {
-  /** Whether a request that arrives now is inside the rate. */
+  /** Takes a token if there is one; returns whether the request is within the rate. */
   draw(now: number): boolean;
 }
 
-/** Starts full. `rate` is in tokens a second. */
+/** Creates a full bucket. `rate` is in tokens per second. */
 export function createIdealBucket(rate: number, burst: number): IdealBucket {
   let tokens = burst;
   let filledAt: number | undefined;
--- a/src/tools/callers/question.ts
+++ b/src/tools/callers/online_request.ts
@@ -1,96 +1,96 @@
-/** One online question as a caller asks it, and what the caller gets. */
+/** Sends one online request as a caller does, and reports what the caller gets. */
 import {createParser, type EventSourceMessage} from 'eventsource-parser';
 import {request, type Dispatcher} from 'undici';
 import {VERDICT_HEADER} from '../../instance/callers/constants.js';
 import {sendThrough, type Balancer} from './balancer.js';
 
-/** How a question ended for its caller. */
-export type QuestionOutcome =
-  /** The whole answer came. */
+/** How a request ended for its caller. */
+export type RequestOutcome =
+  /** The complete response arrived. */
   | 'answered'
-  /** 429: over the rate. */
+  /** 429: over the account's rate. */
   | 'limited'
   /** 503 or 504 with the verdict not-run. */
   | 'refused'
   /** 401: the key is not valid. */
   | 'unauthorized'
-  /** An error after it may have run, also as the last event of a stream. */
+  /** An error after the request may have run, also as the last event of a stream. */
   | 'failed'
-  /** The connection broke: the instance was lost. */
+  /** The connection failed or the stream ended early: the instance was lost. */
   | 'broken';
 
-/** What the caller got. Times in ms since `askedAt`. */
-export interface QuestionResult {
-  outcome: QuestionOutcome;
+/** What the caller got. Times in ms since `intendedAt`. */
+export interface RequestResult {
+  outcome: RequestOutcome;
   firstTokenMs: number | undefined;
   totalMs: number;
   text: string;
   detail: string;
 }
 
-/** What a caller asks. */
-export interface Question {
+/** A request of a caller. */
+export interface OnlineRequest {
   key: string;
   model: string;
   prompt: string;
   maxTokens: number;
-  /** When it meant to ask: waiting to be sent counts as waiting. */
-  askedAt: number;
-  /** Called with each piece of the answer. */
+  /** When the request was due to be sent; a delay before sending counts as latency. */
+  intendedAt: number;
+  /** Called with each piece of the response. */
   onPiece?: (piece: string) => void;
 }
 
-interface Reading {
+interface StreamState {
   text: string;
   firstTokenAt: number | undefined;
   ended: boolean;
   error: string | undefined;
 }
 
-const OUTCOME_BY_STATUS: Record<number, QuestionOutcome> = {
+const OUTCOME_BY_STATUS: Record<number, RequestOutcome> = {
   401: 'unauthorized',
   429: 'limited',
 };
 
-/** Asks through the balancer; never throws. */
-export async function askQuestion(
+/** Sends a request through the balancer; never rejects. */
+export async function sendOnlineRequest(
   balancer: Balancer,
-  question: Question,
+  onlineRequest: OnlineRequest,
   now: () => number,
-): Promise<QuestionResult> {
-  const reading: Reading = {
+): Promise<RequestResult> {
+  const streamState: StreamState = {
     text: '',
     firstTokenAt: undefined,
     ended: false,
     error: undefined,
   };
-  function finish(outcome: QuestionOutcome, detail = ''): QuestionResult {
-    const {firstTokenAt, text} = reading;
+  function finish(outcome: RequestOutcome, detail = ''): RequestResult {
+    const {firstTokenAt, text} = streamState;
     return {
       outcome,
-      firstTokenMs: firstTokenAt && firstTokenAt - question.askedAt,
-      totalMs: now() - question.askedAt,
+      firstTokenMs: firstTokenAt && firstTokenAt - onlineRequest.intendedAt,
+      totalMs: now() - onlineRequest.intendedAt,
       text,
       detail,
     };
   }
   try {
-    const answer = await sendQuestion(balancer, question, now);
+    const answer = await sendToInstance(balancer, onlineRequest, now);
     if (answer.statusCode !== 200) {
       const body = await answer.body.text();
       return finish(findOutcome(answer), describeError(body));
     }
-    await readStream(answer.body, reading, question, now);
-    if (reading.ended) return finish('answered');
-    return reading.error
-      ? finish('failed', describeError(reading.error))
-      : finish('broken', 'the answer ended early');
+    await readStream(answer.body, streamState, onlineRequest, now);
+    if (streamState.ended) return finish('answered');
+    return streamState.error
+      ? finish('failed', describeError(streamState.error))
+      : finish('broken', 'the stream ended before [DONE]');
   } catch (error) {
     return finish('broken', (error as Error).message);
   }
 }
 
-/** Code, message and verdict of an error answer. */
+/** Formats code, verdict and message of an error response. */
 function describeError(body: string): string {
   try {
     const {code, message, verdict} = JSON.parse(body).error;
@@ -100,28 +100,28 @@
   }
 }
 
-function findOutcome(answer: Dispatcher.ResponseData): QuestionOutcome {
+function findOutcome(answer: Dispatcher.ResponseData): RequestOutcome {
   const known = OUTCOME_BY_STATUS[answer.statusCode];
   if (known) return known;
   return answer.headers[VERDICT_HEADER] === 'not-run' ? 'refused' : 'failed';
 }
 
-function sendQuestion(
+function sendToInstance(
   balancer: Balancer,
-  question: Question,
+  onlineRequest: OnlineRequest,
   now: () => number,
 ): Promise<Dispatcher.ResponseData> {
   const body = JSON.stringify({
-    model: question.model,
+    model: onlineRequest.model,
     stream: true,
-    max_tokens: question.maxTokens,
-    messages: [{role: 'user', content: question.prompt}],
+    max_tokens: onlineRequest.maxTokens,
+    messages: [{role: 'user', content: onlineRequest.prompt}],
   });
   return sendThrough(balancer, now, address =>
     request(`http://${address}/v1/chat/completions`, {
       method: 'POST',
       headers: {
-        authorization: `Bearer ${question.key}`,
+        authorization: `Bearer ${onlineRequest.key}`,
         'content-type': 'application/json',
       },
       body,
@@ -131,12 +131,12 @@
 
 async function readStream(
   body: AsyncIterable<Uint8Array>,
-  reading: Reading,
-  question: Question,
+  streamState: StreamState,
+  onlineRequest: OnlineRequest,
   now: () => number,
 ) {
   const parser = createParser({
-    onEvent: event => readEvent(event, reading, question, now),
+    onEvent: event => handleEvent(event, streamState, onlineRequest, now),
   });
   const decoder = new TextDecoder();
   for await (const bytes of body) {
@@ -144,22 +144,22 @@
   }
 }
 
-function readEvent(
+function handleEvent(
   event: EventSourceMessage,
-  reading: Reading,
-  question: Question,
+  streamState: StreamState,
+  onlineRequest: OnlineRequest,
   now: () => number,
 ) {
   if (event.event === 'error') {
-    reading.error = event.data;
+    streamState.error = event.data;
     return;
   }
   if (event.data === '[DONE]') {
-    reading.ended = true;
+    streamState.ended = true;
     return;
   }
-  reading.firstTokenAt ??= now();
+  streamState.firstTokenAt ??= now();
   const piece = JSON.parse(event.data).choices[0]?.delta?.content ?? '';
-  reading.text += piece;
-  question.onPiece?.(piece);
+  streamState.text += piece;
+  onlineRequest.onPiece?.(piece);
 }
--- a/src/tools/callers/open_loop.ts
+++ b/src/tools/callers/open_loop.ts
@@ -1,10 +1,10 @@
 /**
- * Arrivals that do not wait for answers. A closed loop would send less exactly
- * when answers are late, and hide the lateness it is meant to measure.
+ * Open-loop load: arrivals do not wait for responses. A closed loop would send fewer
+ * requests exactly when responses are late, and so hide the latency that is measured.
  */
 import {createRandom} from '../../plays/random.js';
 
-/** Poisson arrivals. */
+/** Load with Poisson arrivals. */
 export interface OpenLoopOptions {
   ratePerSecond: number;
   durationMs: number;
@@ -14,12 +14,12 @@
 }
 
 /**
- * Calls `send` with the time of each arrival, also of those that the event loop
- * was late for; resolves when all have ended.
+ * Calls `send` with the intended time of each arrival, also if the event loop is late
+ * for it. Resolves when all calls have ended.
  */
 export async function runOpenLoop(
   {ratePerSecond, durationMs, seed, now}: OpenLoopOptions,
-  send: (askedAt: number, index: number) => Promise<void>,
+  send: (intendedAt: number, index: number) => Promise<void>,
 ): Promise<void> {
   const random = createRandom(seed);
   const meanGapMs = 1000 / ratePerSecond;
--- a/src/tools/capacity/line_fit.ts
+++ b/src/tools/capacity/line_fit.ts
@@ -1,4 +1,4 @@
-/** Least squares: how a cost grows with a size. */
+/** Least-squares fit of a line, to show how a cost grows with a size. */
 
 /** y = base + slope * x. */
 export interface FittedLine {
@@ -6,7 +6,7 @@
   slope: number;
 }
 
-/** Needs at least two different x. */
+/** Fits a line to the points; without two different x its slope is 0. */
 export function computeLine(
   points: readonly {x: number; y: number}[],
 ): FittedLine {
--- a/src/tools/capacity/measure_capacity.ts
+++ b/src/tools/capacity/measure_capacity.ts
@@ -1,12 +1,12 @@
 /**
- * What control costs an instance, and how that grows: real processes, idle and
- * under a little load, with one size varied at a time. The lines that fit the
- * points are what docs/CAPACITY.md is worked out from.
+ * Measures the cost of control traffic for an instance and how it grows. It runs real
+ * processes, idle and under light load, and varies one size at a time. docs/CAPACITY.md
+ * is computed from the lines fitted to the points.
  */
 import {setTimeout as waitMs} from 'node:timers/promises';
 import {createBalancer} from '../callers/balancer.js';
 import {runOpenLoop} from '../callers/open_loop.js';
-import {askQuestion} from '../callers/question.js';
+import {sendOnlineRequest} from '../callers/online_request.js';
 import {ENGINE, MODEL} from '../load/constants.js';
 import {
   startLoadFleet,
@@ -18,14 +18,14 @@
 const SETTLE_MS = 5000;
 const MEASURE_MS = 10_000;
 
-/** Writes one line for the person who watches. */
+/** Prints one line of progress or results. */
 export type Print = (line: string) => void;
 
-/** Mean cost of one instance, a second. */
+/** Mean cost of one instance, per second except for memory. */
 interface InstanceCost {
   /** Share of a core. */
   cpu: number;
-  /** Resident memory at its highest, in MiB. */
+  /** Peak resident memory, in MiB. */
   memory: number;
   /** Table reads and writes. */
   reads: number;
@@ -42,12 +42,12 @@
   bytes: number;
 }
 
-/** One size that is varied. */
+/** Measurements in which one size varies. */
 interface Series {
   name: string;
   sizes: readonly number[];
   buildShape: (size: number) => FleetShape;
-  /** Requests a second over the fleet while measured. */
+  /** Requests per second to the fleet during the measurement. */
   requestRate: (size: number) => number;
 }
 
@@ -58,7 +58,7 @@
   accountRates: buildAccounts(8),
 };
 
-/** Sizes vary one at a time; the others stay as in the base shape. */
+/** In each series one size varies; the others stay as in the base shape. */
 const SERIES: readonly Series[] = [
   {
     name: 'instances',
@@ -92,7 +92,7 @@
   );
 }
 
-/** Measures every series and prints points and lines. */
+/** Measures every series and prints its points and fitted lines. */
 export async function measureCapacity(print: Print): Promise<void> {
   for (const series of SERIES) {
     print(`${series.name} varied:`);
@@ -147,11 +147,11 @@
   const [key] = Object.values(fleet.keys);
   await runOpenLoop(
     {ratePerSecond, durationMs, seed: 1, now},
-    async (askedAt, index) => {
+    async (intendedAt, index) => {
       const prompt = `question ${index}`;
-      await askQuestion(
+      await sendOnlineRequest(
         balancer,
-        {key, model: MODEL, prompt, maxTokens: ENGINE.tokens, askedAt},
+        {key, model: MODEL, prompt, maxTokens: ENGINE.tokens, intendedAt},
         now,
       );
     },
--- a/src/tools/configuration/measure_configuration.ts
+++ b/src/tools/configuration/measure_configuration.ts
@@ -1,7 +1,8 @@
 /**
- * Measures configuration and keys on virtual time, at sizes up to the one to
- * design for: how long until a change is in force everywhere, what it costs the
- * table and the peers, and what an outage does. `npm run bench:configuration`.
+ * `npm run bench:configuration`: measures configuration and keys on virtual time, at
+ * fleet sizes up to the design size. It measures how long a change takes until it is
+ * active on all instances, what it costs the table and the peers, and the effect of a
+ * store outage.
  */
 import {applyServiceDocument} from '../../instance/configuration/configuration.js';
 import {parseServiceDocument} from '../../instance/configuration/service_document.js';
@@ -36,7 +37,7 @@
 function makeDocument(service: string, rate: number): string {
   const accounts = Array.from(
     {length: KEYS},
-    (_, at) => `[account.account-${at}]\nrate = ${rate}/s\nburst = 5\n`,
+    (_, index) => `[account.account-${index}]\nrate = ${rate}/s\nburst = 5\n`,
   );
   const head = ENGINE_DOCUMENT.split('[account.gate]')[0];
   return `${head.replace('name = drum-reader', `name = ${service}`)}${accounts.join('')}`;
@@ -45,27 +46,31 @@
 function listDomains(instances: number): string[] {
   return Array.from(
     {length: instances},
-    (_, at) => `domain-${at % FAILURE_DOMAINS}`,
+    (_, index) => `domain-${index % FAILURE_DOMAINS}`,
   );
 }
 
-/** A fleet with all documents and keys in force. */
+/** Creates a fleet on which all documents and keys are active. */
 async function createLoadedFleet(instances: number) {
   const fleet = createConfigurationFleet(listDomains(instances));
   const {table} = fleet.platform;
-  for (let at = 0; at < SERVICES; at++) {
-    await applyServiceDocument(table, makeDocument(`service-${at}`, 1), 'ana');
+  for (let index = 0; index < SERVICES; index++) {
+    await applyServiceDocument(
+      table,
+      makeDocument(`service-${index}`, 1),
+      'ana',
+    );
   }
   let secret = '';
-  for (let at = 0; at < KEYS; at++) {
-    ({secret} = await giveKey(table, `account-${at}`));
+  for (let index = 0; index < KEYS; index++) {
+    ({secret} = await giveKey(table, `account-${index}`));
   }
   await fleet.clock.advanceAsync(3000);
   return {...fleet, secret};
 }
 
-/** Time until the newest change is in force on every instance, in ms. */
-async function measureInForce(
+/** Applies a change and returns the time until it is active on every instance, in ms. */
+async function measureApplyTime(
   fleet: ConfigurationFleet,
   rate: number,
 ): Promise<number> {
@@ -79,15 +84,15 @@
     generation = outcome.generation;
     committedAt = clock.now();
   });
-  const isInForce = () =>
+  const isActive = () =>
     instances.every(
       ({configuration}) => configuration.describeGeneration() >= generation,
     );
-  while (!isInForce()) await clock.advanceAsync(STEP_MS);
+  while (!isActive()) await clock.advanceAsync(STEP_MS);
   return clock.now() - Math.min(committedAt, startedAt + 60_000);
 }
 
-/** Refusals of a valid key, and calls between peers, through an outage. */
+/** Counts refusals of a valid key and calls between peers during a store outage. */
 async function measureOutage(
   fleet: ConfigurationFleet & {secret: string},
 ): Promise<{refusals: number; calls: number[]}> {
@@ -102,7 +107,9 @@
     ).length;
   }
   platform.faults.down = false;
-  const calls = instances.map(({asked}, at) => (asked - before[at]) / OUTAGE_S);
+  const calls = instances.map(
+    ({asked}, index) => (asked - before[index]) / OUTAGE_S,
+  );
   return {refusals, calls};
 }
 
@@ -120,7 +127,7 @@
   platform.faults.slowMs = storeCallMs;
   const times: number[] = [];
   for (let change = 0; change < CHANGES; change++) {
-    times.push(await measureInForce(fleet, change + 2));
+    times.push(await measureApplyTime(fleet, change + 2));
     await clock.advanceAsync(337 * change);
   }
   times.sort((a, b) => a - b);
@@ -135,15 +142,15 @@
     idleReadsPerInstancePerS: reads / count / 20,
     cpuMsPerInstancePerS: (cpu.user + cpu.system) / 1000 / count / 20,
     outagePeerCallsPerInstancePerS:
-      calls.reduce((sum, one) => sum + one, 0) / count,
+      calls.reduce((sum, perInstance) => sum + perInstance, 0) / count,
     outagePeerCallsMostAskedPerS: Math.max(...calls),
     outageRefusals: refusals,
   };
 }
 
 /**
- * One instance alone reads the table: after how many seconds each share of the
- * others knows its content again, through relays.
+ * Lets only one instance read the table and returns, for each second after, the share of
+ * instances that know the table's content, which the others learn through relays.
  */
 async function measureRelay(count: number): Promise<number[]> {
   const fleet = createConfigurationFleet(listDomains(count));
@@ -162,7 +169,7 @@
   return shares;
 }
 
-/** Bytes that one instance's state takes, from many of them. */
+/** Measures the heap that one instance's state takes, in bytes, as a mean over 30. */
 async function measureMemory(): Promise<number> {
   global.gc?.();
   const before = process.memoryUsage().heapUsed;
@@ -172,7 +179,7 @@
   return fleet.instances.length > 0 ? bytes : 0;
 }
 
-/** Time that one instance takes to read a document of all accounts, in ms. */
+/** Measures the processor time to parse a document with all accounts, in ms. */
 function measureParse(): number {
   const text = makeDocument('service-0', 1);
   const before = process.cpuUsage();
--- a/src/tools/configuration/measure_poll.ts
+++ b/src/tools/configuration/measure_poll.ts
@@ -1,4 +1,4 @@
-/** Cost of one poll of configuration over the table's protocol. */
+/** Measures the cost of one configuration poll over the table's protocol. */
 import diagnostics from 'node:diagnostics_channel';
 import type net from 'node:net';
 import {startConnectedPlatform} from '../../testing/platforms.js';
@@ -10,21 +10,21 @@
 
 const POLLS = 500;
 
-/** Processor time covers adapter and stand-in; bytes both directions. */
+/** Processor time includes adapter and stand-in; bytes are those of both directions. */
 export interface PollCost {
   cpuMs: number;
   bytes: number;
 }
 
-/** Polls that find no change, one after another. */
+/** Measures sequential polls that find no change and returns their mean cost. */
 export async function measurePoll(): Promise<PollCost> {
   const sockets = new Set<net.Socket>();
-  const noteSocket = (message: unknown) =>
+  const addSocket = (message: unknown) =>
     sockets.add((message as {socket: net.Socket}).socket);
-  diagnostics.subscribe('net.client.socket', noteSocket);
+  diagnostics.subscribe('net.client.socket', addSocket);
   const countBytes = () =>
     [...sockets].reduce(
-      (sum, one) => sum + one.bytesRead + one.bytesWritten,
+      (sum, socket) => sum + socket.bytesRead + socket.bytesWritten,
       0,
     );
   const tested = await startConnectedPlatform();
@@ -40,7 +40,7 @@
     cpuMs: (user + system) / 1000 / POLLS,
     bytes: (countBytes() - bytes) / POLLS,
   };
-  diagnostics.unsubscribe('net.client.socket', noteSocket);
+  diagnostics.unsubscribe('net.client.socket', addSocket);
   await tested.close();
   return cost;
 }
--- a/src/tools/demo/demo_fleet.ts
+++ b/src/tools/demo/demo_fleet.ts
@@ -1,4 +1,4 @@
-/** Three instances, a dozen endpoints and the platform, in one process. */
+/** Starts 3 instances, 12 endpoints and the platform in one process, for the demo. */
 import {createSystemClock} from '../../common/clock.js';
 import {createSilentLog} from '../../common/log.js';
 import {applyServiceDocument} from '../../instance/configuration/configuration.js';
@@ -13,7 +13,6 @@
 const ENDPOINTS = 12;
 const FAILURE_DOMAINS = ['klang-a', 'klang-b', 'penang-a', 'johor-a'];
 
-/** Time to the first token and between tokens of the engines, in ms. */
 const ENGINE_TIMING = {
   tokens: 12,
   firstTokenMs: 60,
@@ -40,7 +39,7 @@
 burst = 50
 `;
 
-/** The running demo. */
+/** The running fleet of the demo. */
 export interface DemoFleet {
   instances: Instance[];
   keys: {gate: string; gateSpare: string; gateSpareId: string; planner: string};
--- a/src/tools/demo/run_demo.ts
+++ b/src/tools/demo/run_demo.ts
@@ -1,4 +1,4 @@
-/** The story of the demo, step by step; ends by itself within a minute. */
+/** Runs the steps of the demo and prints their results; ends within a minute. */
 import {withdrawKey} from '../../instance/keys/key_directory.js';
 import {createBalancer, type Balancer} from '../callers/balancer.js';
 import {
@@ -10,23 +10,26 @@
 } from '../callers/bundle.js';
 import {createCallerMeasures} from '../callers/caller_measures.js';
 import {runOpenLoop} from '../callers/open_loop.js';
-import {askQuestion, type Question} from '../callers/question.js';
+import {
+  sendOnlineRequest,
+  type OnlineRequest,
+} from '../callers/online_request.js';
 import {startDemoFleet, type DemoFleet} from './demo_fleet.js';
 
 const MODEL = 'drum-reader-7b';
 const ITEMS = 1500;
 const MAX_TOKENS = 12;
 const ONLINE_RATE = 20;
-const QUIET_MS = 5000;
+const ONLINE_PHASE_MS = 5000;
 const BUNDLE_TIMEOUT_MS = 25_000;
 const WITHDRAWAL_TIMEOUT_MS = 5000;
 
-/** Writes one line for the person who watches. */
+/** Prints one line of progress or results. */
 export type Print = (line: string) => void;
 
 const now = () => performance.now();
 
-/** Runs all steps; throws when one does not hold what it claims. */
+/** Runs all steps; throws if one does not show the expected result. */
 export async function runDemo(print: Print): Promise<void> {
   print('Starting 3 instances, 12 model engines and the platform.');
   const fleet = await startDemoFleet(withdrawKey);
@@ -42,9 +45,9 @@
 
 async function showSteps(fleet: DemoFleet, balancer: Balancer, print: Print) {
   const planner: BundleCaller = {balancer, key: fleet.keys.planner, now};
-  print(`\nOnline questions alone, ${ONLINE_RATE} a second:`);
-  const quiet = await measureOnline(fleet, balancer, QUIET_MS, 1);
-  printOnline(quiet, print);
+  print(`\nOnline requests alone, ${ONLINE_RATE} a second:`);
+  const onlineOnly = await measureOnline(fleet, balancer, ONLINE_PHASE_MS, 1);
+  printOnline(onlineOnly, print);
 
   print(`\nA bundle of ${ITEMS} items is submitted.`);
   const submittedAt = now();
@@ -60,49 +63,53 @@
   await showStream(fleet, balancer, print);
 
   print('\nThe same online load beside the bundle:');
-  const busy = await measureOnline(fleet, balancer, QUIET_MS, 1);
-  printOnline(busy, print);
+  const besideBatch = await measureOnline(fleet, balancer, ONLINE_PHASE_MS, 1);
+  printOnline(besideBatch, print);
 
   print('\nOne instance is lost:');
   await fleet.instances.pop()!.halt();
-  const bereft = await measureOnline(fleet, balancer, QUIET_MS, 2);
-  printOnline(bereft, print);
+  const afterLoss = await measureOnline(fleet, balancer, ONLINE_PHASE_MS, 2);
+  printOnline(afterLoss, print);
 
   await showWithdrawal(fleet, balancer, print);
   const {progress, tookMs} = await completion;
   if (!progress) {
-    const reached = await fetchProgress(planner, jobId);
-    throw new Error(`the bundle is at ${JSON.stringify(reached)}`);
+    const lastProgress = await fetchProgress(planner, jobId);
+    throw new Error(
+      `the bundle did not complete in time: ${JSON.stringify(lastProgress)}`,
+    );
   }
   const output = await checkOutput(planner, jobId, ITEMS);
-  print(`\nThe bundle is back: ${JSON.stringify(output)}`);
+  print(`\nThe bundle has completed: ${JSON.stringify(output)}`);
   if (output.missing + output.doubled + output.misplaced > 0) {
-    throw new Error('the bundle did not come back whole');
+    throw new Error('the output has missing, duplicated or misplaced items');
   }
-  const wrongful = countRefusals(busy) + countRefusals(bereft);
+  const wrongful = countRefusals(besideBatch) + countRefusals(afterLoss);
   print('\nThe four measures:');
   print(`  batch throughput      ${formatRate(ITEMS, tookMs)} items/s`);
   print(
-    `  harm to online tail   p99 ${formatRatio(busy.firstToken.p99, quiet.firstToken.p99)} of the same load without batch`,
+    `  harm to online tail   p99 ${formatRatio(besideBatch.firstToken.p99, onlineOnly.firstToken.p99)} of the same load without batch`,
+  );
+  print(
+    `  worst account served  ${besideBatch.worstOverMedian.toFixed(3)} of the median`,
   );
   print(
-    `  worst account served  ${busy.worstOverMedian.toFixed(3)} of the median`,
+    `  wrongful refusals     ${wrongful} of ${besideBatch.sent + afterLoss.sent}`,
   );
-  print(`  wrongful refusals     ${wrongful} of ${busy.sent + bereft.sent}`);
 }
 
 async function showStream(fleet: DemoFleet, balancer: Balancer, print: Print) {
   const pieces: string[] = [];
-  const result = await askQuestion(
+  const result = await sendOnlineRequest(
     balancer,
     {
-      ...buildQuestion(fleet.keys.gate, 'is drum 17 accepted', now()),
+      ...buildOnlineRequest(fleet.keys.gate, 'is drum 17 accepted', now()),
       onPiece: piece => pieces.push(piece),
     },
     now,
   );
   print(
-    `A driver's question streams meanwhile, in ${pieces.length} pieces, the first after ${result.firstTokenMs?.toFixed(0)} ms:`,
+    `The response to a driver's request is streamed meanwhile, in ${pieces.length} pieces, the first after ${result.firstTokenMs?.toFixed(0)} ms:`,
   );
   print(`  ${pieces.join('|')}`);
 }
@@ -115,15 +122,19 @@
   const withdrawnAt = now();
   await fleet.withdrawKey(fleet.keys.gateSpareId);
   while (now() - withdrawnAt < WITHDRAWAL_TIMEOUT_MS) {
-    const question = buildQuestion(fleet.keys.gateSpare, 'still there', now());
-    const result = await askQuestion(balancer, question, now);
+    const onlineRequest = buildOnlineRequest(
+      fleet.keys.gateSpare,
+      'still there',
+      now(),
+    );
+    const result = await sendOnlineRequest(balancer, onlineRequest, now);
     if (result.outcome === 'unauthorized') {
       const seconds = ((now() - withdrawnAt) / 1000).toFixed(1);
       print(`\nA key is withdrawn; it stopped working after ${seconds} s.`);
       return;
     }
   }
-  throw new Error('a withdrawn key still works');
+  throw new Error('a withdrawn key is still accepted');
 }
 
 async function measureOnline(
@@ -139,12 +150,16 @@
   ] as const;
   await runOpenLoop(
     {ratePerSecond: ONLINE_RATE, durationMs, seed, now},
-    async (askedAt, index) => {
+    async (intendedAt, index) => {
       const [account, key] = accounts[index % accounts.length];
-      const question = buildQuestion(key, `drum ${index}`, askedAt);
+      const onlineRequest = buildOnlineRequest(
+        key,
+        `drum ${index}`,
+        intendedAt,
+      );
       measures.record(
         account,
-        await askQuestion(balancer, question, now),
+        await sendOnlineRequest(balancer, onlineRequest, now),
         true,
       );
     },
@@ -152,8 +167,12 @@
   return measures.summarize();
 }
 
-function buildQuestion(key: string, prompt: string, askedAt: number): Question {
-  return {key, model: MODEL, prompt, maxTokens: MAX_TOKENS, askedAt};
+function buildOnlineRequest(
+  key: string,
+  prompt: string,
+  intendedAt: number,
+): OnlineRequest {
+  return {key, model: MODEL, prompt, maxTokens: MAX_TOKENS, intendedAt};
 }
 
 type Summary = Awaited<ReturnType<typeof measureOnline>>;
--- a/src/tools/docs/configuration_page.ts
+++ b/src/tools/docs/configuration_page.ts
@@ -1,10 +1,10 @@
-/** docs/CONFIGURATION.md, made from the schemas that check the files. */
+/** Generates docs/CONFIGURATION.md from the schemas that validate the files. */
 import type * as z from 'zod';
 import {serviceDocumentSchema} from '../../instance/configuration/service_document.js';
 import {gatewaySettingsSchema} from '../../instance/gateway_settings.js';
 import {settingsSchema} from '../../instance/settings.js';
 
-/** The parts of a schema's definition that are read here. */
+/** The parts of a zod schema's definition that this module reads. */
 interface Definition {
   type: string;
   innerType?: z.ZodType;
@@ -29,7 +29,7 @@
   return schema.def as unknown as Definition;
 }
 
-/** The schema without defaults and the like. */
+/** Returns the schema inside wrappers such as `default` and `optional`. */
 function stripWrappers(schema: z.ZodType): z.ZodType {
   const {type, innerType} = getDefinition(schema);
   return WRAPPERS.has(type) && innerType ? stripWrappers(innerType) : schema;
@@ -84,7 +84,10 @@
   };
 }
 
-/** Keys of a section; `[name]` for a section that stands once for each name. */
+/**
+ * Lists the sections of a schema with their keys. `NAME` stands for the variable part of
+ * a section that may occur once for each name.
+ */
 function listSections(
   schema: z.ZodType,
   path: string[],
@@ -124,7 +127,7 @@
   return listSections(schema, []).map(renderSection).join('\n');
 }
 
-/** The whole page. */
+/** Renders the complete page. */
 export function renderConfigurationPage(): string {
   return `# Configuration
 
--- a/src/tools/docs/docs.test.ts
+++ b/src/tools/docs/docs.test.ts
@@ -1,4 +1,4 @@
-/** Pages that are made from code, or name what code has, are up to date. */
+/** Checks that the pages generated from code are up to date. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {startSiteFleet} from '../../../platform/stand_in/site_fleet.js';
@@ -13,13 +13,13 @@
 import {renderConfigurationPage} from './configuration_page.js';
 
 describe('docs', () => {
-  it('CONFIGURATION.md tells what the schemas allow', () => {
+  it('CONFIGURATION.md matches the schemas', () => {
     const page = renderConfigurationPage();
-    assert.doesNotMatch(page, /\| {2}\|$/m, 'each key says what it does');
+    assert.doesNotMatch(page, /\| {2}\|$/m, 'each key has a description');
     assertGolden('../docs/CONFIGURATION.md', page);
   });
 
-  it('METRICS.md names what an instance registers', async () => {
+  it('METRICS.md lists the metrics that an instance and a gateway register', async () => {
     const clock = createSystemClock();
     const metrics = createMetrics();
     const settings = makeSettings('entry-1');
--- a/src/tools/docs/metrics_page.ts
+++ b/src/tools/docs/metrics_page.ts
@@ -1,12 +1,12 @@
-/** docs/METRICS.md, made from the metrics that an instance registers. */
+/** Generates docs/METRICS.md from the metrics that an instance registers. */
 
-/** One metric as registered. */
+/** A registered metric. */
 export interface ListedMetric {
   name: string;
   help: string;
 }
 
-/** The whole page. */
+/** Renders the complete page. */
 export function renderMetricsPage(metrics: readonly ListedMetric[]): string {
   const rows = [...metrics]
     .sort((a, b) => (a.name < b.name ? -1 : 1))
--- a/src/tools/limits_scenarios.ts
+++ b/src/tools/limits_scenarios.ts
@@ -1,4 +1,4 @@
-/** Scenarios of the limits' measurement: what fails, and when. Times in ms. */
+/** Scenarios of `measure:limits`: the load, what fails and when. Times in ms. */
 import type {LimitsFleet} from '../testing/limits_fleet.js';
 
 /** One client account's load. */
@@ -6,9 +6,9 @@
   account: string;
   rate: number;
   burst: number;
-  /** Requests offered as a share of the rate. */
+  /** Offered requests divided by the rate. */
   load: number;
-  /** Whether only requests inside rate and burst are offered. */
+  /** Whether only requests within rate and burst are offered. */
   conforming: boolean;
 }
 
@@ -17,22 +17,25 @@
   name: string;
   durationMs: number;
   accounts: AccountLoad[];
-  /** Called once the load has run for a while. */
+  /** Called after the warm-up. */
   start(fleet: LimitsFleet): void;
-  /** Called before the end. */
+  /** Called when `durationMs` has passed, to end faults. */
   end(fleet: LimitsFleet): void;
 }
 
-const CALM_ACCOUNTS: AccountLoad[] = Array.from({length: 8}, (_, index) => ({
-  account: `account-${index}`,
-  rate: [5, 10, 20, 40][index % 4],
-  burst: [10, 20, 40, 80][index % 4],
-  load: 0.8,
-  conforming: true,
-}));
+const CONFORMING_ACCOUNTS: AccountLoad[] = Array.from(
+  {length: 8},
+  (_, index) => ({
+    account: `account-${index}`,
+    rate: [5, 10, 20, 40][index % 4],
+    burst: [10, 20, 40, 80][index % 4],
+    load: 0.8,
+    conforming: true,
+  }),
+);
 
-const WITH_GREEDY: AccountLoad[] = [
-  ...CALM_ACCOUNTS.slice(1),
+const ACCOUNTS_WITH_GREEDY: AccountLoad[] = [
+  ...CONFORMING_ACCOUNTS.slice(1),
   {
     account: 'account-greedy',
     rate: 20,
@@ -42,39 +45,39 @@
   },
 ];
 
-function stopOne(fleet: LimitsFleet) {
+function stopOneInstance(fleet: LimitsFleet) {
   fleet.kill(fleet.names[0]);
 }
 
-function waitOnly() {}
+function leaveUnchanged() {}
 
 /** Every scenario of the measurement. */
 export const LIMITS_SCENARIOS: LimitsScenario[] = [
   {
     name: 'no faults',
     durationMs: 60_000,
-    accounts: CALM_ACCOUNTS,
-    start: waitOnly,
-    end: waitOnly,
+    accounts: CONFORMING_ACCOUNTS,
+    start: leaveUnchanged,
+    end: leaveUnchanged,
   },
   {
     name: 'a neighbour at 5 times its rate',
     durationMs: 60_000,
-    accounts: WITH_GREEDY,
-    start: waitOnly,
-    end: waitOnly,
+    accounts: ACCOUNTS_WITH_GREEDY,
+    start: leaveUnchanged,
+    end: leaveUnchanged,
   },
   {
     name: 'an instance lost',
     durationMs: 60_000,
-    accounts: CALM_ACCOUNTS,
-    start: stopOne,
-    end: waitOnly,
+    accounts: CONFORMING_ACCOUNTS,
+    start: stopOneInstance,
+    end: leaveUnchanged,
   },
   {
     name: 'an outage of an hour',
     durationMs: 3_600_000,
-    accounts: CALM_ACCOUNTS.map(account => ({
+    accounts: CONFORMING_ACCOUNTS.map(account => ({
       ...account,
       rate: account.rate / 20,
       burst: Math.max(2, account.burst / 20),
@@ -89,10 +92,10 @@
   {
     name: 'an outage with an instance lost in it',
     durationMs: 120_000,
-    accounts: CALM_ACCOUNTS,
+    accounts: CONFORMING_ACCOUNTS,
     start: fleet => {
       fleet.platform.faults.down = true;
-      fleet.clock.schedule(60_000, () => stopOne(fleet));
+      fleet.clock.schedule(60_000, () => stopOneInstance(fleet));
     },
     end: fleet => {
       fleet.platform.faults.down = false;
@@ -101,11 +104,11 @@
   {
     name: 'two instances lost at once',
     durationMs: 60_000,
-    accounts: CALM_ACCOUNTS,
+    accounts: CONFORMING_ACCOUNTS,
     start: fleet => {
       fleet.kill(fleet.names[0]);
       fleet.kill(fleet.names[1]);
     },
-    end: waitOnly,
+    end: leaveUnchanged,
   },
 ];
--- a/src/tools/load/child.ts
+++ b/src/tools/load/child.ts
@@ -1,28 +1,31 @@
-/** A child process of the load run, ended by its id alone. */
+/** A child process of the load run, to which signals are sent by its process id only. */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {readFile} from 'node:fs/promises';
 import {START_TIMEOUT_MS} from './constants.js';
 
 /** What a child has used since it started. */
 export interface ChildUsage {
-  /** Resident memory at its highest. */
+  /** Peak resident memory. */
   memoryBytes: number;
   cpuMs: number;
-  /** Read and written by its system calls; nearly all of it on sockets. */
+  /** Bytes that its system calls read and wrote, nearly all of them on sockets. */
   ioBytes: number;
 }
 
 /** A running child. */
 export interface Child {
-  /** What its pattern matched when it said that it was ready. */
+  /** Match of the ready pattern in the child's output. */
   ready: RegExpExecArray;
   signal(signal: NodeJS.Signals): void;
-  /** Resolves with its exit code, or null when a signal ended it. */
+  /** Resolves with the exit code, or null if a signal ended the process. */
   exited: Promise<number | null>;
   measure(): Promise<ChildUsage>;
 }
 
-/** Starts this program with `args`; `readyPattern` appears on its output. */
+/**
+ * Starts this program with `args`; resolves when its output matches `readyPattern`, and
+ * rejects if it exits or does not match within START_TIMEOUT_MS.
+ */
 export async function startChild(
   args: readonly string[],
   readyPattern: RegExp,
@@ -53,8 +56,8 @@
     function fail() {
       reject(new Error(`${args.join(' ')} did not start: ${output}`));
     }
-    function readOutput(part: Buffer) {
-      output = `${output}${part}`.slice(-20_000);
+    function readOutput(chunk: Buffer) {
+      output = `${output}${chunk}`.slice(-20_000);
       const match = pattern.exec(output);
       if (!match) return;
       clearTimeout(timer);
@@ -68,7 +71,7 @@
 
 const CLOCK_TICK_MS = 10;
 
-/** From the process table of the system. */
+/** Reads the usage of a process from /proc. */
 async function readUsage(pid: number): Promise<ChildUsage> {
   const [status, stat, io] = await Promise.all(
     ['status', 'stat', 'io'].map(name =>
--- a/src/tools/load/constants.ts
+++ b/src/tools/load/constants.ts
@@ -1,4 +1,4 @@
-/** Sizes and times of the load run: one deployment of today. */
+/** Sizes and times of the load run: those of one deployment today. */
 
 /** Entry instances, each a process. */
 export const INSTANCES = 10;
@@ -6,7 +6,7 @@
 /** Model engine stand-ins, each a process. */
 export const ENDPOINTS = 12;
 
-/** Failure domains of both, in turn. */
+/** Failure domains to which instances and endpoints are assigned in turn. */
 export const FAILURE_DOMAINS = ['klang-a', 'klang-b', 'penang-a', 'johor-a'];
 
 /** Timing of the engines, in ms and tokens. */
@@ -16,10 +16,10 @@
   betweenTokensMs: 20,
 };
 
-/** Requests one endpoint runs at once. */
+/** Requests that one endpoint runs concurrently. */
 export const MAX_CONCURRENCY = 8;
 
-/** Requests a second that each account may send, a few of them large. */
+/** Rate of each account in requests per second; a few accounts are large. */
 export const ACCOUNT_RATES: Record<string, number> = {
   'gate-klang': 40,
   'gate-penang': 20,
@@ -31,15 +31,14 @@
   planner: 5,
 };
 
-/** Share of its rate that each account sends. */
+/** Share of its rate that each account uses. */
 export const USED_SHARE = 0.8;
 
 /** The account that sends several times its rate, and how many times. */
 export const GREEDY_ACCOUNT = 'gate-penang';
 export const GREEDY_FACTOR = 5;
 
-/** The model asked for. */
+/** The model of all requests. */
 export const MODEL = 'drum-reader-7b';
 
-/** How long children may take to start, in ms. */
 export const START_TIMEOUT_MS = 20_000;
--- a/src/tools/load/load_fleet.ts
+++ b/src/tools/load/load_fleet.ts
@@ -1,4 +1,7 @@
-/** Ten instances and a dozen endpoints as processes, and the platform here. */
+/**
+ * Starts instances and endpoints as child processes, and the platform stand-in in this
+ * process.
+ */
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -20,27 +23,27 @@
   operatorsAddress: string;
 }
 
-/** How large a fleet is. */
+/** Size of a fleet. */
 export interface FleetShape {
   instances: number;
   endpoints: number;
   maxConcurrency: number;
-  /** Requests a second of each client account; its burst is the same. */
+  /** Rate of each client account, in requests per second; its burst is the same number. */
   accountRates: Record<string, number>;
 }
 
-/** Everything of a run. */
+/** The running fleet with its platform. */
 export interface LoadFleet {
   platform: PlatformServer;
   instances: LoadInstance[];
   engines: Child[];
-  /** Key of each account. */
+  /** Key of each client account. */
   keys: Record<string, string>;
-  /** Ends what still runs; resolves with the exit codes of instances. */
+  /** Ends all processes that still run; resolves with the instances' exit codes. */
   stop(): Promise<(number | null)[]>;
 }
 
-/** Starts all of it on free ports of loopback. */
+/** Starts the fleet and its platform on free ports of loopback. */
 export async function startLoadFleet(shape: FleetShape): Promise<LoadFleet> {
   const platform = await createPlatformServer();
   const folder = await mkdtemp(join(tmpdir(), 'mulberryrouter-load-'));
@@ -94,7 +97,7 @@
     ),
   );
   for (const [index, {ready}] of engines.entries()) {
-    register(platform, {
+    addToInstanceList(platform, {
       name: `endpoint-${index + 1}`,
       role: 'endpoint',
       address: ready[1],
@@ -120,7 +123,7 @@
     /"callers":"([^"]+)","operators":"([^"]+)","peers":"([^"]+)"/,
   );
   const [, callersAddress, operatorsAddress, peersAddress] = child.ready;
-  register(platform, {
+  addToInstanceList(platform, {
     name,
     role: 'entry',
     address: peersAddress,
@@ -131,7 +134,7 @@
   return {name, child, callersAddress, operatorsAddress};
 }
 
-function register(platform: PlatformServer, entry: ListedInstance) {
+function addToInstanceList(platform: PlatformServer, entry: ListedInstance) {
   const listed = platform.platform.getInstances();
   platform.platform.setInstances([...listed, entry]);
 }
--- a/src/tools/load/run_load.ts
+++ b/src/tools/load/run_load.ts
@@ -1,7 +1,8 @@
 /**
- * Real processes under an open loop: the four measures with and without batch
- * work, with an account far over its rate, and with an instance killed, an
- * endpoint frozen and the store down. Bounded in time and count.
+ * Runs instances and endpoints as processes under open-loop load and takes the four
+ * measures with and without batch work, with one account far over its rate, and with an
+ * instance killed, an endpoint frozen and the store down. Duration and number of
+ * processes are bounded.
  */
 import {setTimeout as waitMs} from 'node:timers/promises';
 import {request} from 'undici';
@@ -18,7 +19,7 @@
 } from '../callers/caller_measures.js';
 import {createIdealBucket, type IdealBucket} from '../callers/ideal_bucket.js';
 import {runOpenLoop} from '../callers/open_loop.js';
-import {askQuestion} from '../callers/question.js';
+import {sendOnlineRequest} from '../callers/online_request.js';
 import {
   ACCOUNT_RATES,
   ENDPOINTS,
@@ -44,13 +45,13 @@
   /mulberry_batch_items_total\{event="succeeded"\} (\d+)/;
 const BUNDLE_TIMEOUT_MS = 90_000;
 
-/** Writes one line for the person who watches. */
+/** Prints one line of progress or results. */
 export type Print = (line: string) => void;
 
-interface Run {
+interface LoadRun {
   fleet: LoadFleet;
   balancer: Balancer;
-  /** Go on from phase to phase, as the accounts' own do. */
+  /** Shared by all phases, because the accounts' real buckets persist as well. */
   ideal: Map<string, IdealBucket>;
   planner: BundleCaller;
   jobId: string;
@@ -61,7 +62,7 @@
 
 /** Runs all phases and prints their measures. */
 export async function runLoad(print: Print): Promise<void> {
-  print(`starting ${Object.keys(ACCOUNT_RATES).length} accounts' fleet`);
+  print(`starting a fleet for ${Object.keys(ACCOUNT_RATES).length} accounts`);
   const fleet = await startLoadFleet({
     instances: INSTANCES,
     endpoints: ENDPOINTS,
@@ -102,7 +103,7 @@
   }
 }
 
-async function showBatchPhases(run: Run, alone: CallerSummary) {
+async function showBatchPhases(run: LoadRun, alone: CallerSummary) {
   const {print, planner, jobId} = run;
   await waitMs(WARM_UP_MS);
   const before = await countItems(run.fleet);
@@ -115,7 +116,7 @@
   });
   const [faulted] = await Promise.all([
     runPhase(run, 'faults', FAULTS_MS, print),
-    bringAboutFaults(run),
+    injectFaults(run),
   ]);
   const progress = await awaitBundle(planner, jobId, BUNDLE_TIMEOUT_MS);
   print(`bundle: ${JSON.stringify(progress ?? 'not complete in time')}`);
@@ -143,7 +144,7 @@
   }
 }
 
-/** Items that succeeded so far, by the instances' own counters. */
+/** Sums the items that succeeded so far, from the instances' metrics. */
 async function countItems({instances}: LoadFleet): Promise<number> {
   const counts = await Promise.all(
     instances.map(async ({operatorsAddress}) => {
@@ -155,7 +156,7 @@
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
-/** What the endpoints' slots could carry beside the online load. */
+/** Items per second that the endpoints' slots could run beside the online load. */
 function computeIdleBound(): number {
   const itemMs =
     ENGINE.firstTokenMs + (ENGINE.tokens - 1) * ENGINE.betweenTokensMs;
@@ -175,7 +176,7 @@
   return `${refused} of ${sent} (${((100 * refused) / sent).toFixed(2)}%), broken or failed ${(outcomes.broken ?? 0) + (outcomes.failed ?? 0)}`;
 }
 
-async function bringAboutFaults({fleet, print}: Run) {
+async function injectFaults({fleet, print}: LoadRun) {
   await waitMs(KILL_AT_MS);
   fleet.instances[0].child.signal('SIGKILL');
   print('  (an instance is killed)');
@@ -190,9 +191,9 @@
   print('  (the store is up)');
 }
 
-/** `factors` multiplies the load of some accounts. */
+/** Runs one phase of online load; `factors` multiplies the load of some accounts. */
 async function runPhase(
-  {fleet, balancer, ideal}: Pick<Run, 'fleet' | 'balancer' | 'ideal'>,
+  {fleet, balancer, ideal}: Pick<LoadRun, 'fleet' | 'balancer' | 'ideal'>,
   name: string,
   durationMs: number,
   print: Print,
@@ -207,20 +208,20 @@
         seed: seed + 1,
         now,
       },
-      async (askedAt, index) => {
-        const isInside = ideal.get(account)!.draw(askedAt);
-        const result = await askQuestion(
+      async (intendedAt, index) => {
+        const isWithinRate = ideal.get(account)!.draw(intendedAt);
+        const result = await sendOnlineRequest(
           balancer,
           {
             key: fleet.keys[account],
             model: MODEL,
             prompt: `${account} drum ${index}`,
             maxTokens: ENGINE.tokens,
-            askedAt,
+            intendedAt,
           },
           now,
         );
-        measures.record(account, result, isInside);
+        measures.record(account, result, isWithinRate);
       },
     ),
   );
@@ -236,7 +237,7 @@
   return summary;
 }
 
-async function printUsage({fleet, print}: Run) {
+async function printUsage({fleet, print}: LoadRun) {
   for (const {name, child} of fleet.instances.slice(1)) {
     const usage = await child.measure();
     print(
--- a/src/tools/measure/ablation.ts
+++ b/src/tools/measure/ablation.ts
@@ -3,7 +3,7 @@
 import {createPoolScheduler} from '../../decisions/pool_scheduler.js';
 import type {PlayParts} from '../../plays/play_runner.js';
 
-/** Name and parts of each reduced policy; the first is the whole one. */
+/** Lists the name and parts of each reduced policy; the first is the complete one. */
 export function buildAblations(): {name: string; parts: Partial<PlayParts>}[] {
   const names = Object.keys(ALL_MECHANISMS);
   return [
--- a/src/tools/measure/baselines.ts
+++ b/src/tools/measure/baselines.ts
@@ -1,4 +1,4 @@
-/** Simple policies to compare with, behind the scheduler's own interface. */
+/** Simple policies for comparison, which implement the scheduler's interface. */
 import type {PoolScheduler} from '../../decisions/pool_scheduler.js';
 import type {
   PoolLimits,
@@ -9,10 +9,10 @@
 interface BaselinePolicy {
   /** Whether requests of this kind wait for a free slot. */
   hasLimit: (request: ScheduledRequest) => boolean;
-  /** The next endpoint among those with room. */
+  /** Chooses an endpoint among those with a free slot. */
   chooseEndpoint: (
     counts: ReadonlyMap<string, number>,
-    open: readonly string[],
+    available: readonly string[],
   ) => string;
 }
 
@@ -29,7 +29,7 @@
     counts.set(endpoint, (counts.get(endpoint) ?? 0) + 1);
   }
 
-  function listOpen(request: ScheduledRequest): string[] {
+  function listAvailable(request: ScheduledRequest): string[] {
     return [...counts.keys()].filter(
       endpoint =>
         !request.avoid.includes(endpoint) &&
@@ -37,15 +37,17 @@
     );
   }
 
-  function grantOne(request: ScheduledRequest): SchedulerAction | undefined {
-    const open = listOpen(request);
-    if (open.length === 0) return undefined;
-    const endpoint = chooseEndpoint(counts, open);
+  function grantRequest(
+    request: ScheduledRequest,
+  ): SchedulerAction | undefined {
+    const available = listAvailable(request);
+    if (available.length === 0) return undefined;
+    const endpoint = chooseEndpoint(counts, available);
     addSlot(request.id, endpoint);
     return {kind: 'grant', requestId: request.id, endpoint};
   }
 
-  /** First come, first served: one that must wait holds up those behind. */
+  /** First come, first served: a request that has to wait blocks those behind it. */
   function decideNext(now: number): SchedulerAction[] {
     const actions: SchedulerAction[] = [];
     let next = 0;
@@ -60,7 +62,7 @@
         });
         continue;
       }
-      const granted = grantOne(request);
+      const granted = grantRequest(request);
       if (!granted) break;
       actions.push(granted);
     }
@@ -76,7 +78,7 @@
     setLimits: (_limits, now) => decideNext(now),
     submit(request, now) {
       if (!hasLimit(request)) {
-        const granted = grantOne(request);
+        const granted = grantRequest(request);
         if (granted) return [granted];
       }
       waiting.push(request);
@@ -103,23 +105,27 @@
   };
 }
 
-/** One queue for all work, endpoints in turn. */
+/** One queue for all work; endpoints are chosen round robin. */
 export function createRoundRobinScheduler(limits: PoolLimits): PoolScheduler {
   let turn = 0;
   return createBaseline(limits, {
     hasLimit: () => true,
-    chooseEndpoint: (_counts, open) => open[turn++ % open.length],
+    chooseEndpoint: (_counts, available) =>
+      available[turn++ % available.length],
   });
 }
 
-/** Questions go at once to the endpoint with the fewest requests; batch too, up to the limit. */
+/**
+ * Online requests go at once to the endpoint with the fewest requests; batch requests go
+ * there too, but only up to the limit.
+ */
 export function createLeastConnectionsScheduler(
   limits: PoolLimits,
 ): PoolScheduler {
   return createBaseline(limits, {
     hasLimit: ({workClass}) => workClass === 'batch',
-    chooseEndpoint: (counts, open) =>
-      open.reduce((least, endpoint) =>
+    chooseEndpoint: (counts, available) =>
+      available.reduce((least, endpoint) =>
         counts.get(endpoint)! < counts.get(least)! ? endpoint : least,
       ),
   });
--- a/src/tools/measure/deployments.ts
+++ b/src/tools/measure/deployments.ts
@@ -1,6 +1,6 @@
 /**
- * Both deployments at today's sizes, as plays: 10 instances, a dozen endpoints
- * in four failure domains, 8 client accounts, a few of them large.
+ * Scenarios of both deployments at today's sizes: 10 instances, 12 endpoints in 4 failure
+ * domains, and 8 client accounts, a few of them large.
  */
 import {
   playSchema,
@@ -9,7 +9,7 @@
 } from '../../plays/play_schema.js';
 import type {EngineParameters} from '../../plays/engine_parameters.js';
 
-const PLAY_MS = 40_000;
+const DURATION_MS = 40_000;
 const WARMUP_MS = 8000;
 const BURST_AT_MS = [12_000, 20_000, 28_000];
 const BURST_WITHIN_MS = 200;
@@ -18,22 +18,22 @@
 const SLOW_AT_MS = 8000;
 const SILENT_AT_MS = 20_000;
 const SMALL_KV_TOKENS = 11_000;
-const SATURATION = 6;
-/** Share of large accounts' requests that comes in at one instance. */
-const SKEW = 0.3;
-/** Accounts that send more are large. */
-const LARGE_LOAD = 3;
+const SATURATION_LOAD_FACTOR = 6;
+/** Share of a large account's requests that arrives at one instance. */
+const LARGE_ACCOUNT_SKEW = 0.3;
+/** Requests per second above which an account is large. */
+const LARGE_ACCOUNT_LOAD_PER_S = 3;
 
 /** One of the users' deployments. */
 export interface Deployment {
   name: string;
   service: string;
   clientMs: number;
-  /** Name and load (requests a second) of each account; rates are double. */
+  /** Name and load (requests per second) of each account; its rate is twice the load. */
   accounts: readonly (readonly [name: string, load: number])[];
-  /** Who sends bursts, and of how many requests. */
+  /** The account that sends bursts, and the requests in each burst. */
   burst: {account: string; requests: number};
-  /** Who sends five times its rate in one of the plays. */
+  /** The account that sends 5 times its rate in the situation `over-rate`. */
   offender: string;
   batchAccount: string;
   sizes: Record<'online' | 'batch', Record<string, number>>;
@@ -87,7 +87,7 @@
   },
 ];
 
-/** What happens in a play of a deployment. */
+/** What happens in a scenario. */
 export type Situation =
   | 'online'
   | 'batch'
@@ -95,11 +95,11 @@
   | 'burst-online'
   | 'over-rate'
   | 'instance-lost'
-  /** One endpoint slow, then another one silent. */
+  /** One endpoint becomes slow, then another one stops responding. */
   | 'endpoint-faults'
   /** Engines whose memory holds fewer sequences than the document allows. */
   | 'small-memory'
-  /** Several times what the endpoints can carry. */
+  /** The load is several times the endpoints' capacity. */
   | 'saturation';
 
 interface SituationParts {
@@ -110,7 +110,7 @@
   engine?: Partial<EngineParameters>;
 }
 
-/** Whether batch work runs, and what happens besides. */
+/** Whether batch work runs in each situation, and which events occur. */
 const SITUATIONS: Record<Situation, SituationParts> = {
   online: {hasBatch: false, buildEvents: () => []},
   batch: {hasBatch: true, buildEvents: () => []},
@@ -133,7 +133,11 @@
     buildEvents: () => [],
     engine: {kvTokens: SMALL_KV_TOKENS},
   },
-  saturation: {hasBatch: true, buildEvents: () => [], load: SATURATION},
+  saturation: {
+    hasBatch: true,
+    buildEvents: () => [],
+    load: SATURATION_LOAD_FACTOR,
+  },
 };
 
 function buildBursts({burst}: Deployment): PlayEvent[] {
@@ -161,31 +165,31 @@
   load?: number;
 }
 
-/** The play of one situation. */
-export function buildPlay(
+/** Builds the scenario of one situation. */
+export function buildScenario(
   deployment: Deployment,
   situation: Situation,
   seed: number,
   variation: Variation = {},
 ): Play {
-  const {hasBatch, buildEvents, ...own} = SITUATIONS[situation];
-  const load = (variation.load ?? 1) * (own.load ?? 1);
+  const {hasBatch, buildEvents, ...situationParts} = SITUATIONS[situation];
+  const load = (variation.load ?? 1) * (situationParts.load ?? 1);
   const {online, batch} = deployment.sizes;
   return playSchema.parse({
     name: `${deployment.name} ${situation}`,
     seed,
-    durationMs: PLAY_MS,
+    durationMs: DURATION_MS,
     warmupMs: WARMUP_MS,
     clientMs: deployment.clientMs,
     maxConcurrency: variation.maxConcurrency,
-    engine: {...variation.engine, ...own.engine},
+    engine: {...variation.engine, ...situationParts.engine},
     accounts: deployment.accounts.map(([name, mean]) => ({
       name,
       rate: 2 * mean * load,
-      // Room for a burst and for the chance crowding of a Poisson stream.
+      // Allows a burst and the random clustering of Poisson arrivals.
       burst: 4 * mean + 20 + deployment.burst.requests,
       load: mean * load,
-      skew: mean > LARGE_LOAD ? SKEW : 0,
+      skew: mean > LARGE_ACCOUNT_LOAD_PER_S ? LARGE_ACCOUNT_SKEW : 0,
       sizes: online,
     })),
     batch: hasBatch ? [{account: deployment.batchAccount, sizes: batch}] : [],
--- a/src/tools/measure/four_measures.ts
+++ b/src/tools/measure/four_measures.ts
@@ -1,10 +1,10 @@
-/** The users' four measures of one policy on one deployment, over seeds. */
+/** Computes the users' four measures of one policy on one deployment, over several seeds. */
 import type {Histogram} from 'hdr-histogram-js';
 import {computeBatchRate, MEASURES} from '../../plays/play_measures.js';
 import {readPercentile, type PlayResult} from '../../plays/play_result.js';
 import {runPlay, type PlayParts} from '../../plays/play_runner.js';
 import {
-  buildPlay,
+  buildScenario,
   type Deployment,
   type Situation,
   type Variation,
@@ -14,42 +14,42 @@
 export interface FourMeasures {
   deployment: string;
   policy: string;
-  /** First token without batch work, and under full batch load. */
+  /** Time to first token without batch work, and under full batch load. */
   onlineP50: number;
   onlineP99: number;
   underBatchP50: number;
   underBatchP95: number;
   underBatchP99: number;
-  /** 50th, 95th and 99th percentile under batch to that without. */
+  /** Ratios of the 50th, 95th and 99th percentile under batch load to those without. */
   harmP50: number;
   harmP95: number;
   harmP99: number;
-  /** Items a second, the bound, and their ratio. */
+  /** Items per second, their upper bound, and the ratio of the two. */
   batchRate: number;
   batchBound: number;
   batchShare: number;
-  /** Items stopped for each that was completed. */
+  /** Number of times an item yielded its slot, for each completed item. */
   batchStopped: number;
-  /** Worst-served account to the median one while another sends too much. */
+  /** Ratio of the worst-served account to the median one while another exceeds its rate. */
   worstAnswered: number;
   worstPrompt: number;
-  /** Share of requests inside the rate that were refused. */
+  /** Share of the requests within the rate that were refused. */
   wrongful: number;
   wrongfulInLoss: number;
-  /** How long batch work held up a burst's requests, and the burst's harm. */
+  /** Longest wait of a burst's requests caused by batch work, and the harm to the burst. */
   heldMax: number;
   burstHarmP99: number;
-  /** First token, and share answered, while endpoints are slow and silent. */
+  /** Time to first token and share answered while one endpoint is slow and one silent. */
   faultsP99: number;
   faultsAnswered: number;
-  /** First token where engines' memory is small. */
+  /** Time to first token on engines with small memory. */
   smallMemoryP99: number;
-  /** Answers a second in saturation, and the least sender's share. */
+  /** Responses per second under saturation, and the share of the account that sends least. */
   saturatedGoodput: number;
   saturatedLeast: number;
 }
 
-/** Plays all situations for every seed and puts the figures together. */
+/** Simulates all situations with every seed and computes the measures. */
 export function measurePolicy(
   deployment: Deployment,
   policy: string,
@@ -57,26 +57,27 @@
   seeds: readonly number[],
   variation: Variation = {},
 ): FourMeasures {
-  const play = (situation: Situation) =>
+  const simulate = (situation: Situation) =>
     seeds.map(seed =>
-      runPlay(buildPlay(deployment, situation, seed, variation), parts),
+      runPlay(buildScenario(deployment, situation, seed, variation), parts),
     );
-  const online = play('online');
-  const batch = play('batch');
-  const burst = play('burst');
-  const burstOnline = play('burst-online');
-  const overRate = play('over-rate');
-  const loss = play('instance-lost');
-  const faults = play('endpoint-faults');
-  const memory = play('small-memory');
-  const saturation = play('saturation');
+  const online = simulate('online');
+  const batch = simulate('batch');
+  const burst = simulate('burst');
+  const burstOnline = simulate('burst-online');
+  const overRate = simulate('over-rate');
+  const loss = simulate('instance-lost');
+  const faults = simulate('endpoint-faults');
+  const memory = simulate('small-memory');
+  const saturation = simulate('saturation');
 
-  const alone = mergeHistograms(online, result => result.firstToken);
-  const under = mergeHistograms(batch, result => result.firstToken);
+  const withoutBatch = mergeHistograms(online, result => result.firstToken);
+  const withBatch = mergeHistograms(batch, result => result.firstToken);
   const harm = (percentile: number) =>
-    readPercentile(under, percentile) / readPercentile(alone, percentile);
-  const burstUnder = mergeHistograms(burst, each => each.firstTokenOfBurst);
-  const burstAlone = mergeHistograms(
+    readPercentile(withBatch, percentile) /
+    readPercentile(withoutBatch, percentile);
+  const burstWithBatch = mergeHistograms(burst, each => each.firstTokenOfBurst);
+  const burstWithoutBatch = mergeHistograms(
     burstOnline,
     each => each.firstTokenOfBurst,
   );
@@ -88,11 +89,11 @@
   return {
     deployment: deployment.name,
     policy,
-    onlineP50: readPercentile(alone, 50),
-    onlineP99: readPercentile(alone, 99),
-    underBatchP50: readPercentile(under, 50),
-    underBatchP95: readPercentile(under, 95),
-    underBatchP99: readPercentile(under, 99),
+    onlineP50: readPercentile(withoutBatch, 50),
+    onlineP99: readPercentile(withoutBatch, 99),
+    underBatchP50: readPercentile(withBatch, 50),
+    underBatchP95: readPercentile(withBatch, 95),
+    underBatchP99: readPercentile(withBatch, 99),
     harmP50: harm(50),
     harmP95: harm(95),
     harmP99: harm(99),
@@ -108,7 +109,8 @@
     wrongfulInLoss: computeMeanOf(loss, 'wrongful-share'),
     heldMax: readPercentile(held, 100),
     burstHarmP99:
-      readPercentile(burstUnder, 99) / readPercentile(burstAlone, 99),
+      readPercentile(burstWithBatch, 99) /
+      readPercentile(burstWithoutBatch, 99),
     faultsP99: computeMeanOf(faults, 'first-token-p99'),
     faultsAnswered: computeMeanOf(faults, 'answered-share'),
     smallMemoryP99: computeMeanOf(memory, 'first-token-p99'),
@@ -118,12 +120,12 @@
 }
 
 /**
- * Batch items a second that the idle capacity could carry: what engines filled
- * to the limit would complete in the time that the same online load, put into
- * equally full engines, leaves. A sequence in a full engine costs, for each
- * token, its share of the step (base / limit + slope), and its uncached prompt
- * the prefill. No step is lost to waiting, yielding or an unfilled slot, and
- * batch prompts find their shared prefix cached: no policy can pass it.
+ * Computes the batch items per second that the idle capacity could carry, an upper bound
+ * for any policy. It assumes engines filled to the limit and counts the time that the
+ * same online load, run on equally full engines, leaves. In a full engine a sequence
+ * costs its share of the step for each token (base / limit + slope), and the prefill of
+ * its uncached prompt. No step is lost to waiting, yielding or an unfilled slot, and the
+ * shared prefix of batch prompts is always cached.
  */
 export function computeBatchBound(
   deployment: Deployment,
@@ -138,7 +140,7 @@
   const idleMs = endpoints * (durationMs - warmupMs) - onlineMs;
   const {prompt, answer, shared} = deployment.sizes.batch;
   const cached = Math.floor(shared / engine.blockTokens) * engine.blockTokens;
-  // Mean of a log-normal with the plays' default spread, from its median.
+  // Mean over median of a log-normal with the scenarios' default sigma of 0.5.
   const meanFactor = Math.exp(0.5 ** 2 / 2);
   const itemMs =
     (prompt * meanFactor - cached) * engine.prefillPerTokenMs +
@@ -155,7 +157,7 @@
   return first;
 }
 
-/** Mean of one measure over plays. */
+/** Computes the mean of one measure over several simulations. */
 function computeMeanOf(results: readonly PlayResult[], name: string): number {
   return computeMean(results.map(result => MEASURES[name](result)));
 }
--- a/src/tools/measure/main.ts
+++ b/src/tools/measure/main.ts
@@ -1,14 +1,14 @@
 /**
- * `npm run measure`: plays both deployments across seeds, prints the four
- * measures beside baselines and writes docs/report. `-- --ablate` switches off
- * each mechanism in turn instead; `-- --seeds N` sets how many seeds.
+ * `npm run measure`: simulates both deployments with several seeds, prints the four
+ * measures with those of the baselines, and writes docs/report. `-- --ablate` instead
+ * switches off one mechanism at a time; `-- --seeds N` sets the number of seeds.
  */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 import {parseArgs} from 'node:util';
 import {runPlay} from '../../plays/play_runner.js';
 import {buildAblations} from './ablation.js';
-import {buildPlay, DEPLOYMENTS, type Variation} from './deployments.js';
+import {buildScenario, DEPLOYMENTS, type Variation} from './deployments.js';
 import {measurePolicy, type FourMeasures} from './four_measures.js';
 import {renderBurstPlot, renderTradePlot} from './plots.js';
 import {POLICIES} from './policies.js';
@@ -22,7 +22,7 @@
 const REPORT_DIRECTORY = join(import.meta.dirname, '../../../../docs/report');
 const DEFAULT_SEEDS = 10;
 
-/** Engines other than the default one, to show what the policy owes to it. */
+/** Engines and loads other than the default, to show how far the results depend on it. */
 const VARIATIONS: Record<string, Variation> = {
   'prefill twice as slow': {engine: {prefillPerTokenMs: 0.16}, load: 0.6},
   'prefill twice as fast': {engine: {prefillPerTokenMs: 0.04}},
@@ -118,7 +118,7 @@
   writeFileSync(join(REPORT_DIRECTORY, 'policy.md'), `${text}\n`);
   const svg = await renderTradePlot(plotted);
   writeFileSync(join(REPORT_DIRECTORY, 'trade.svg'), svg);
-  const burst = runPlay(buildPlay(DEPLOYMENTS[0], 'burst', 1));
+  const burst = runPlay(buildScenario(DEPLOYMENTS[0], 'burst', 1));
   writeFileSync(
     join(REPORT_DIRECTORY, 'burst.svg'),
     await renderBurstPlot(burst),
--- a/src/tools/measure/plots.ts
+++ b/src/tools/measure/plots.ts
@@ -1,10 +1,13 @@
-/** Plots of the report, drawn as SVG by vega. */
+/** Renders the plots of the report as SVG with vega. */
 import vega from 'vega';
 import vegaLite from 'vega-lite';
 import type {FourMeasures} from './four_measures.js';
 import type {PlayResult} from '../../plays/play_result.js';
 
-/** Harm against batch throughput: the upper left corner is the aim. */
+/**
+ * Renders first-token latency with batch work, relative to that without, against batch
+ * throughput.
+ */
 export function renderTradePlot(
   rows: readonly FourMeasures[],
 ): Promise<string> {
@@ -40,7 +43,7 @@
   });
 }
 
-/** Batch items and the slowest first token through a play with bursts. */
+/** Renders batch items and the slowest first token over a simulation with bursts. */
 export function renderBurstPlot(result: PlayResult): Promise<string> {
   const x = {field: 'atMs', type: 'quantitative', title: 'time, ms'};
   return renderSvg({
--- a/src/tools/measure/policies.ts
+++ b/src/tools/measure/policies.ts
@@ -1,4 +1,4 @@
-/** The policies that are measured beside each other. */
+/** The policies that `npm run measure` compares. */
 import type {PlayParts} from '../../plays/play_runner.js';
 import {createDividedGate} from '../../plays/rate_gate.js';
 import {
--- a/src/tools/measure/report.ts
+++ b/src/tools/measure/report.ts
@@ -1,4 +1,4 @@
-/** Tables for the terminal and for docs/report. */
+/** Renders the tables for the terminal and for docs/report. */
 import type {FourMeasures} from './four_measures.js';
 
 interface Column {
@@ -51,7 +51,7 @@
   },
 ];
 
-/** The columns of faults and saturation. */
+/** The columns of the runs with faults and saturation. */
 export const FAULT_COLUMNS: readonly Column[] = [
   {title: 'policy', format: each => each.policy},
   {
@@ -78,7 +78,7 @@
   return Number.isFinite(value) && value > 0 ? value.toFixed(2) : 'none';
 }
 
-/** A Markdown table, one row for each policy. */
+/** Renders a Markdown table with one row for each policy. */
 export function renderTable(
   columns: readonly Column[],
   rows: readonly FourMeasures[],
@@ -91,7 +91,7 @@
   return lines.map(cells => `| ${cells.join(' | ')} |`).join('\n');
 }
 
-/** Aims of the four measures and whether the product meets them. */
+/** Lists the aims of the four measures and whether the figures meet them. */
 export function renderAims(figures: FourMeasures): string {
   const aims: [string, number, boolean][] = [
     ['harm p99 <= 1.10', figures.harmP99, figures.harmP99 <= 1.1],
--- a/src/tools/measure_control.ts
+++ b/src/tools/measure_control.ts
@@ -1,8 +1,8 @@
 /**
- * `npm run measure:control`: processor time and bytes that heartbeats, leases,
- * promises and draws cost an instance, over real connections on loopback, as
- * instances, accounts and requests vary. All instances share one process, so
- * the figures are means over both ends of every call. Bounded to about 3 minutes.
+ * `npm run measure:control`: measures the processor time and bytes that heartbeats,
+ * leases, promises and draws cost an instance, over real connections on loopback, for
+ * different numbers of instances, accounts and requests. All instances share one process,
+ * so the figures are means over both ends of every call. It takes about 3 minutes.
  */
 import {createSystemClock, waitFor} from '../common/clock.js';
 import {createMetrics} from '../common/metrics.js';
@@ -23,7 +23,7 @@
 const DOMAINS = ['klang-a', 'klang-b', 'penang-a', 'johor-a'];
 const KEYS = createPeerKeys('measured-with-a-key-of-its-own-0123456789');
 const LIMITS = {rate: 1000, burst: 1000, weight: 1};
-/** News of the start rides on heartbeats for 20 s. */
+/** Heartbeats carry the member updates of the start for 20 s; they must have ended. */
 const SETTLE_MS = 24_000;
 const MEASURE_MS = 6000;
 const POLL_INTERVAL_MS = 1000;
@@ -31,7 +31,7 @@
 interface ControlCase {
   instances: number;
   accounts: number;
-  /** Requests a second on each instance. */
+  /** Requests per second on each instance. */
   requests: number;
 }
 
@@ -97,7 +97,7 @@
     clock.schedule((everyMs * index) / 24, run);
   }
 
-  function startWork() {
+  function startTasks() {
     runEvery(POLL_INTERVAL_MS, members.poll);
     runEvery(HEARTBEAT_INTERVAL_MS, members.sendHeartbeats);
     runEvery(LEASE_RENEWAL_MS, () => lease.renew(clock.now()));
@@ -105,7 +105,7 @@
   }
 
   await lease.renew(clock.now());
-  return {self, limits, clients, server, runEvery, startWork};
+  return {self, limits, clients, server, runEvery, startTasks};
 }
 
 async function measureCase({instances, accounts, requests}: ControlCase) {
@@ -126,7 +126,7 @@
       state: 'live',
     })),
   );
-  for (const one of fleet) one.startWork();
+  for (const instance of fleet) instance.startTasks();
   await waitFor(clock, SETTLE_MS / 2);
   const acquire = (index: number, account: number) =>
     fleet[index].limits.acquire(
@@ -138,8 +138,10 @@
   }
   let turn = 0;
   if (requests > 0) {
-    for (const [index, one] of fleet.entries()) {
-      one.runEvery(1000 / requests, () => acquire(index, turn++ % accounts));
+    for (const [index, instance] of fleet.entries()) {
+      instance.runEvery(1000 / requests, () =>
+        acquire(index, turn++ % accounts),
+      );
     }
   }
   await waitFor(clock, SETTLE_MS / 2);
@@ -150,14 +152,20 @@
   await waitFor(clock, MEASURE_MS);
   const seconds = (clock.now() - startedAt) / 1000;
   const cpu = process.cpuUsage(cpuBefore);
-  const share = instances * seconds;
+  const instanceSeconds = instances * seconds;
   const line = [
     String(instances).padStart(9),
     String(accounts).padStart(8),
     String(requests).padStart(10),
-    ((100 * (cpu.user + cpu.system)) / 1e6 / share).toFixed(2).padStart(9),
-    ((countBytes(fleet) - bytesBefore) / share).toFixed(0).padStart(8),
-    ((platform.counts.writes - writesBefore) / share).toFixed(3).padStart(9),
+    ((100 * (cpu.user + cpu.system)) / 1e6 / instanceSeconds)
+      .toFixed(2)
+      .padStart(9),
+    ((countBytes(fleet) - bytesBefore) / instanceSeconds)
+      .toFixed(0)
+      .padStart(8),
+    ((platform.counts.writes - writesBefore) / instanceSeconds)
+      .toFixed(3)
+      .padStart(9),
   ];
   process.stdout.write(`${line.join(' ')}\n`);
   running = false;
@@ -174,5 +182,5 @@
 process.stdout.write(
   'instances accounts requests/s  % of core sent B/s  writes/s (each a mean per instance)\n',
 );
-for (const one of CASES) await measureCase(one);
+for (const controlCase of CASES) await measureCase(controlCase);
 process.exit(0);
--- a/src/tools/measure_limits.ts
+++ b/src/tools/measure_limits.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run measure:limits`: requests wrongly refused, and what the limits cost,
- * on virtual time, beside a static division of each rate over the instances.
- * The same seed gives the same figures.
+ * `npm run measure:limits`: measures on virtual time how many requests the limits refuse
+ * wrongly and what they cost, compared with a static division of each rate over the
+ * instances. The same seed gives the same figures.
  */
 import {createRandom, type Random} from '../plays/random.js';
 import {startLimitsFleet, type LimitsFleet} from '../testing/limits_fleet.js';
@@ -17,7 +17,7 @@
   type LimitsScenario,
 } from './limits_scenarios.js';
 
-const SIZE = 10;
+const INSTANCES = 10;
 const DOMAINS = ['klang-a', 'klang-b', 'penang-a', 'johor-a'];
 const SEEDS = [1, 2, 3];
 const SERVICE = 'drum-reader';
@@ -27,24 +27,24 @@
   load: AccountLoad;
   ideal: IdealBucket;
   oracle: RateOracle;
-  /** Share of each instance, uneven. */
-  spread: number[];
-  /** The baseline: one bucket for each instance. */
-  divided: IdealBucket[];
+  /** Uneven weights with which a balancer picks the instances. */
+  instanceWeights: number[];
+  /** The baseline: one bucket for each instance, with an equal part of the rate. */
+  dividedBuckets: IdealBucket[];
   offered: number;
-  /** Requests that one ideal bucket grants. */
+  /** Requests that one ideal bucket for the fleet grants. */
   allowed: number;
   granted: number;
-  wrong: number;
-  wrongDivided: number;
+  wrongRefusals: number;
+  wrongRefusalsDivided: number;
   grantedDivided: number;
   waitedMs: number[];
 }
 
 interface Figures {
   offered: number;
-  wrong: number;
-  wrongDivided: number;
+  wrongRefusals: number;
+  wrongRefusalsDivided: number;
   granted: number;
   allowed: number;
   grantedDivided: number;
@@ -55,7 +55,7 @@
 }
 
 function createAccount(load: AccountLoad, random: Random): Account {
-  const order = Array.from({length: SIZE}, () => random.draw());
+  const order = Array.from({length: INSTANCES}, () => random.draw());
   const ranks = order.map(
     value => order.filter(other => other > value).length + 1,
   );
@@ -63,26 +63,26 @@
     load,
     ideal: createIdealBucket(load),
     oracle: createRateOracle(load),
-    spread: ranks.map(rank => 1 / rank),
-    divided: ranks.map(() =>
+    instanceWeights: ranks.map(rank => 1 / rank),
+    dividedBuckets: ranks.map(() =>
       createIdealBucket({
-        rate: load.rate / SIZE,
-        burst: Math.max(1, load.burst / SIZE),
+        rate: load.rate / INSTANCES,
+        burst: Math.max(1, load.burst / INSTANCES),
       }),
     ),
     offered: 0,
     allowed: 0,
     granted: 0,
-    wrong: 0,
-    wrongDivided: 0,
+    wrongRefusals: 0,
+    wrongRefusalsDivided: 0,
     grantedDivided: 0,
     waitedMs: [],
   };
 }
 
-/** Requests go to instances that run, as a balancer sends them. */
+/** Picks one of the running instances, as a balancer does. */
 function pickInstance(fleet: LimitsFleet, account: Account, random: Random) {
-  const weights = account.spread.map((weight, index) =>
+  const weights = account.instanceWeights.map((weight, index) =>
     fleet.instances.has(fleet.names[index]) ? weight : 0,
   );
   return random.pickWeighted(weights);
@@ -91,14 +91,14 @@
 function sendRequest(fleet: LimitsFleet, account: Account, random: Random) {
   const {load} = account;
   const now = fleet.clock.now();
-  const isInside = account.ideal.take(now);
-  if (load.conforming && !isInside) return;
+  const isWithinRate = account.ideal.take(now);
+  if (load.conforming && !isWithinRate) return;
   const index = pickInstance(fleet, account, random);
   account.offered++;
-  if (isInside) account.allowed++;
-  const isGrantedDivided = account.divided[index].take(now);
+  if (isWithinRate) account.allowed++;
+  const isGrantedDivided = account.dividedBuckets[index].take(now);
   if (isGrantedDivided) account.grantedDivided++;
-  else if (isInside) account.wrongDivided++;
+  else if (isWithinRate) account.wrongRefusalsDivided++;
   const {limits} = fleet.instances.get(fleet.names[index])!;
   void limits
     .acquire(
@@ -108,7 +108,7 @@
     .then(decision => {
       account.waitedMs.push(fleet.clock.now() - now);
       if (decision.kind === 'refused') {
-        if (isInside && load.conforming) account.wrong++;
+        if (isWithinRate && load.conforming) account.wrongRefusals++;
         return;
       }
       account.granted++;
@@ -131,13 +131,13 @@
   });
 }
 
-async function playScenario(
+async function runScenario(
   scenario: LimitsScenario,
   seed: number,
 ): Promise<Figures> {
   const random = createRandom(seed);
   const fleet = await startLimitsFleet({
-    size: SIZE,
+    size: INSTANCES,
     domains: DOMAINS,
     findVersion: () => 1,
     listBuckets: () =>
@@ -156,7 +156,7 @@
   scenario.start(fleet);
   await fleet.advance(scenario.durationMs);
   scenario.end(fleet);
-  const seconds = (scenario.durationMs / 1000) * SIZE;
+  const seconds = (scenario.durationMs / 1000) * INSTANCES;
   const {messages, bytes} = fleet.network.counts;
   await fleet.advance(5000);
   return summarize(
@@ -182,8 +182,8 @@
     allowed: sum(({allowed}) => allowed),
     granted: sum(({granted}) => granted),
     grantedDivided: sum(({grantedDivided}) => grantedDivided),
-    wrong: sum(({wrong}) => wrong),
-    wrongDivided: sum(({wrongDivided}) => wrongDivided),
+    wrongRefusals: sum(({wrongRefusals}) => wrongRefusals),
+    wrongRefusalsDivided: sum(({wrongRefusalsDivided}) => wrongRefusalsDivided),
     excess: Math.max(...accounts.map(({oracle}) => oracle.excess)),
     messagesPerS,
     bytesPerS,
@@ -199,8 +199,8 @@
   const percent = (count: number) => `${((100 * count) / allowed).toFixed(3)}%`;
   return [
     name.padEnd(40),
-    percent(sum(({wrong}) => wrong)).padStart(9),
-    percent(sum(({wrongDivided}) => wrongDivided)).padStart(9),
+    percent(sum(({wrongRefusals}) => wrongRefusals)).padStart(9),
+    percent(sum(({wrongRefusalsDivided}) => wrongRefusalsDivided)).padStart(9),
     (sum(({granted}) => granted) / allowed).toFixed(3).padStart(8),
     (sum(({grantedDivided}) => grantedDivided) / allowed)
       .toFixed(3)
@@ -235,6 +235,6 @@
 process.stdout.write(`${HEADING}\n`);
 for (const scenario of LIMITS_SCENARIOS) {
   const all: Figures[] = [];
-  for (const seed of SEEDS) all.push(await playScenario(scenario, seed));
+  for (const seed of SEEDS) all.push(await runScenario(scenario, seed));
   process.stdout.write(`${formatFigures(scenario.name, all)}\n`);
 }
--- a/src/tools/overhead/client.ts
+++ b/src/tools/overhead/client.ts
@@ -1,26 +1,29 @@
-/** The caller of the overhead measurement. */
+/** HTTP client of the overhead measurement. */
 import {build, type Histogram} from 'hdr-histogram-js';
 import {Agent, request} from 'undici';
-import type {ServerPlace} from './roles.js';
+import type {ServerAccess} from './roles.js';
 
 /** Latencies are recorded in microseconds. */
 const MICROSECONDS_PER_MS = 1000;
 
-/** Calls one server and keeps its latencies. */
+/** Sends requests to one server and records their latencies. */
 export interface BenchClient {
-  /** To the first byte of the answer's body. */
+  /** Time to the first byte of the response body. */
   firstByte: Histogram;
   total: Histogram;
-  /** One streamed question; throws when its answer is not whole. */
-  sendQuestion(): Promise<void>;
-  /** Questions from `callers` at once for `durationMs`; returns how many. */
+  /** Sends one streaming request; throws if the response does not end with [DONE]. */
+  sendRequest(): Promise<void>;
+  /**
+   * Sends requests for `durationMs`, `callers` of them concurrently; returns the number
+   * that completed.
+   */
   sendMany(callers: number, durationMs: number): Promise<number>;
   close(): Promise<void>;
 }
 
-/** `prompt` is sent with each question. */
+/** `prompt` is sent with each request. */
 export function createBenchClient(
-  {address, key}: ServerPlace,
+  {address, key}: ServerAccess,
   prompt: string,
 ): BenchClient {
   const dispatcher = new Agent({connections: null, pipelining: 1});
@@ -33,7 +36,7 @@
   });
   let sent = 0;
 
-  async function sendQuestion() {
+  async function sendRequest() {
     const startedAt = performance.now();
     const answer = await request(`http://${address}/v1/chat/completions`, {
       dispatcher,
@@ -51,7 +54,8 @@
       firstMs ||= performance.now() - startedAt;
       text = String(piece);
     }
-    if (!text.includes('[DONE]')) throw new Error(`not whole: ${text}`);
+    if (!text.includes('[DONE]'))
+      throw new Error(`response ended without [DONE]: ${text}`);
     firstByte.recordValue(Math.round(firstMs * MICROSECONDS_PER_MS));
     const totalMs = performance.now() - startedAt;
     total.recordValue(Math.round(totalMs * MICROSECONDS_PER_MS));
@@ -60,18 +64,18 @@
   return {
     firstByte,
     total,
-    sendQuestion,
+    sendRequest,
     async sendMany(callers, durationMs) {
       const until = performance.now() + durationMs;
-      let answered = 0;
+      let completed = 0;
       const runCaller = async () => {
         while (performance.now() < until) {
-          await sendQuestion();
-          answered++;
+          await sendRequest();
+          completed++;
         }
       };
       await Promise.all(Array.from({length: callers}, runCaller));
-      return answered;
+      return completed;
     },
     close: () => dispatcher.destroy(),
   };
--- a/src/tools/overhead/main.ts
+++ b/src/tools/overhead/main.ts
@@ -1,45 +1,46 @@
 /**
- * `npm run bench:overhead`: what an instance adds to a call, beside calling
- * the engine stand-in directly and through a bare pass-through, in one run.
+ * `npm run bench:overhead`: measures the latency and processor time that an instance adds
+ * to a call, compared in one run with calls to the engine stand-in directly and through a
+ * minimal proxy.
  */
 import {createBenchClient, type BenchClient} from './client.js';
 import {
   startServerProcess,
-  type EnginePace,
+  type EngineTiming,
   type Role,
   type ServerProcess,
 } from './roles.js';
 
 const TOKENS = 32;
 const PROMPT = 'is drum 17 accepted at the gate? '.repeat(40);
-const WARM_UP_QUESTIONS = 200;
-/** One after another, in turn over the three ways, so that noise meets all. */
-const LATENCY_QUESTIONS = 2000;
+const WARM_UP_REQUESTS = 200;
+/** Sent one after another, alternating over the access paths, so that noise affects all. */
+const LATENCY_REQUESTS = 2000;
 const CALLERS = 32;
 const THROUGHPUT_MS = 5000;
 
 /**
- * An instance's share of the load to design for: 820,000 tokens a second over
- * 360 instances, 64 ms between two tokens of a stream.
+ * One instance's share of the design load: 820,000 tokens per second over 360 instances,
+ * with 64 ms between two tokens of a stream.
  */
 const PACED_CALLERS = 146;
 const PACED_TOKENS = 64;
 const PACED_BETWEEN_MS = 64;
 const PACED_WARM_UP_MS = 4000;
 
-const WAYS = ['direct', 'pass-through', 'instance'] as const;
+const ACCESS_PATHS = ['direct', 'pass-through', 'instance'] as const;
 
-type Way = (typeof WAYS)[number];
+type AccessPath = (typeof ACCESS_PATHS)[number];
 
-interface Ways {
-  servers: Record<Way, ServerProcess>;
-  clients: Record<Way, BenchClient>;
+interface AccessPaths {
+  servers: Record<AccessPath, ServerProcess>;
+  clients: Record<AccessPath, BenchClient>;
 }
 
 interface Load {
   perSecond: number;
   processorMsPerQuestion: number;
-  /** Of one core. */
+  /** Share of one core. */
   processorShare: number;
   residentMiB: number;
 }
@@ -51,17 +52,17 @@
   firstP99Ms: number;
 }
 
-async function measureLatency(clients: Record<Way, BenchClient>) {
+async function measureLatency(clients: Record<AccessPath, BenchClient>) {
   const all = Object.values(clients);
-  for (let question = 0; question < WARM_UP_QUESTIONS; question++) {
-    for (const client of all) await client.sendQuestion();
+  for (let index = 0; index < WARM_UP_REQUESTS; index++) {
+    for (const client of all) await client.sendRequest();
   }
   for (const client of all) {
     client.total.reset();
     client.firstByte.reset();
   }
-  for (let question = 0; question < LATENCY_QUESTIONS; question++) {
-    for (const client of all) await client.sendQuestion();
+  for (let index = 0; index < LATENCY_REQUESTS; index++) {
+    for (const client of all) await client.sendRequest();
   }
 }
 
@@ -80,13 +81,14 @@
 ): Promise<Load> {
   const before = await server.measureUsage();
   const startedAt = performance.now();
-  const answered = await client.sendMany(callers, THROUGHPUT_MS);
+  const completed = await client.sendMany(callers, THROUGHPUT_MS);
   const elapsedMs = performance.now() - startedAt;
   const after = await server.measureUsage();
   return {
-    perSecond: (answered / elapsedMs) * 1000,
+    perSecond: (completed / elapsedMs) * 1000,
     processorShare: (after.processorMs - before.processorMs) / elapsedMs,
-    processorMsPerQuestion: (after.processorMs - before.processorMs) / answered,
+    processorMsPerQuestion:
+      (after.processorMs - before.processorMs) / completed,
     residentMiB: after.residentBytes / 1024 ** 2,
   };
 }
@@ -101,7 +103,7 @@
   };
 }
 
-function printReport(figures: Record<Way, Figures>) {
+function printReport(figures: Record<AccessPath, Figures>) {
   const rows = Object.entries(figures).map(([way, row]) => ({
     way,
     ...Object.fromEntries(
@@ -109,78 +111,88 @@
     ),
   }));
   console.table(rows);
-  const {direct, 'pass-through': bare, instance} = figures;
+  const {direct, 'pass-through': passThrough, instance} = figures;
   const added = (name: 'medianMs' | 'p99Ms' | 'firstMedianMs') =>
     `${(instance[name] - direct[name]).toFixed(3)} ms by the instance, ` +
-    `${(bare[name] - direct[name]).toFixed(3)} ms by the pass-through`;
+    `${(passThrough[name] - direct[name]).toFixed(3)} ms by the pass-through`;
   console.log(`added at the median: ${added('medianMs')}`);
   console.log(`added at the 99th percentile: ${added('p99Ms')}`);
   console.log(`added to the first byte: ${added('firstMedianMs')}`);
   const processorRatio =
-    instance.processorMsPerQuestion / bare.processorMsPerQuestion;
+    instance.processorMsPerQuestion / passThrough.processorMsPerQuestion;
   console.log(
     `processor time a question (${TOKENS} tokens): ` +
       `${processorRatio.toFixed(2)} of the pass-through`,
   );
 }
 
-async function startWays(pace: EnginePace): Promise<Ways> {
-  const engine = await startServerProcess('engine', [], pace);
+async function startAccessPaths(timing: EngineTiming): Promise<AccessPaths> {
+  const engine = await startServerProcess('engine', [], timing);
   const start = (role: Role) =>
-    startServerProcess(role, engine.place.addresses, pace);
-  const servers: Record<Way, ServerProcess> = {
+    startServerProcess(role, engine.access.addresses, timing);
+  const servers: Record<AccessPath, ServerProcess> = {
     direct: engine,
     'pass-through': await start('pass-through'),
     instance: await start('instance'),
   };
   const clients = {
-    direct: createBenchClient(servers.direct.place, PROMPT),
-    'pass-through': createBenchClient(servers['pass-through'].place, PROMPT),
-    instance: createBenchClient(servers.instance.place, PROMPT),
+    direct: createBenchClient(servers.direct.access, PROMPT),
+    'pass-through': createBenchClient(servers['pass-through'].access, PROMPT),
+    instance: createBenchClient(servers.instance.access, PROMPT),
   };
   return {servers, clients};
 }
 
-async function stopWays({servers, clients}: Ways) {
-  for (const way of WAYS) {
-    await clients[way].close();
-    servers[way].stop();
+async function stopAccessPaths({servers, clients}: AccessPaths) {
+  for (const accessPath of ACCESS_PATHS) {
+    await clients[accessPath].close();
+    servers[accessPath].stop();
   }
 }
 
-async function measureAll(): Promise<Record<Way, Figures>> {
-  const ways = await startWays({tokens: TOKENS, betweenTokensMs: 0});
-  await measureLatency(ways.clients);
-  const figures = {} as Record<Way, Figures>;
-  for (const way of WAYS) {
-    const latency = readLatency(ways.clients[way]);
-    const client = ways.clients[way];
-    const load = await measureThroughput(client, ways.servers[way]);
-    figures[way] = {...latency, ...load};
+async function measureAll(): Promise<Record<AccessPath, Figures>> {
+  const accessPaths = await startAccessPaths({
+    tokens: TOKENS,
+    betweenTokensMs: 0,
+  });
+  await measureLatency(accessPaths.clients);
+  const figures = {} as Record<AccessPath, Figures>;
+  for (const accessPath of ACCESS_PATHS) {
+    const latency = readLatency(accessPaths.clients[accessPath]);
+    const client = accessPaths.clients[accessPath];
+    const load = await measureThroughput(
+      client,
+      accessPaths.servers[accessPath],
+    );
+    figures[accessPath] = {...latency, ...load};
   }
-  await stopWays(ways);
+  await stopAccessPaths(accessPaths);
   return figures;
 }
 
-/** At the load of one instance of the fleet to design for. */
+/** Measures each access path at the load of one instance of a fleet of the design size. */
 async function measurePaced() {
-  const ways = await startWays({
+  const accessPaths = await startAccessPaths({
     tokens: PACED_TOKENS,
     betweenTokensMs: PACED_BETWEEN_MS,
   });
-  for (const way of WAYS) {
-    const client = ways.clients[way];
-    // Until the endpoints' concurrency limits have grown to the load.
+  for (const accessPath of ACCESS_PATHS) {
+    const client = accessPaths.clients[accessPath];
+    // Warm-up, until the endpoints' concurrency limits have grown to the load.
     await client.sendMany(PACED_CALLERS, PACED_WARM_UP_MS);
-    const load = await measureLoad(client, ways.servers[way], PACED_CALLERS);
+    const load = await measureLoad(
+      client,
+      accessPaths.servers[accessPath],
+      PACED_CALLERS,
+    );
     const tokens = load.perSecond * PACED_TOKENS;
     console.log(
-      `paced, ${way}: ${tokens.toFixed(0)} tokens/s, ` +
+      `paced, ${accessPath}: ${tokens.toFixed(0)} tokens/s, ` +
         `${(load.processorShare * 100).toFixed(1)}% of a core, ` +
         `${load.residentMiB.toFixed(0)} MiB`,
     );
   }
-  await stopWays(ways);
+  await stopAccessPaths(accessPaths);
 }
 
 printReport(await measureAll());
--- a/src/tools/overhead/pass_through.ts
+++ b/src/tools/overhead/pass_through.ts
@@ -1,8 +1,8 @@
-/** The least a proxy can do: one call in, one call out, bytes piped. */
+/** A minimal proxy for comparison: it forwards each call and pipes the bytes. */
 import {Agent, createServer, request as sendRequest} from 'node:http';
 import type {AddressInfo} from 'node:net';
 
-/** Forwards everything to `target`; resolves with its own address. */
+/** Starts a proxy that forwards all requests to `target`; resolves with its address. */
 export async function startPassThrough(target: string): Promise<string> {
   const agent = new Agent({keepAlive: true});
   const server = createServer((request, response) => {
--- a/src/tools/overhead/roles.ts
+++ b/src/tools/overhead/roles.ts
@@ -1,6 +1,6 @@
 /**
- * The processes of the overhead measurement: each runs one server and answers
- * its parent's questions about its address, processor time and memory.
+ * The processes of the overhead measurement. Each runs one server and reports its
+ * address, processor time and memory to its parent process.
  */
 import {fork, type ChildProcess} from 'node:child_process';
 import {fileURLToPath} from 'node:url';
@@ -14,15 +14,15 @@
 import {makeEndpoint, makeSettings} from '../../testing/fixtures.js';
 import {startPassThrough} from './pass_through.js';
 
-/** Where a server listens, and the key it wants. */
-export interface ServerPlace {
+/** Where a server listens, and the key that it requires. */
+export interface ServerAccess {
   address: string;
-  /** Engines listen on several, since an instance has several before it. */
+  /** Engines listen on several addresses, because an instance serves several endpoints. */
   addresses: string[];
   key: string;
 }
 
-/** 1,900 endpoints over 360 instances, rounded up. */
+/** Endpoints for each instance: 1,900 endpoints over 360 instances, rounded up. */
 const ENGINES = 6;
 
 /** What a server's process has used so far. */
@@ -33,9 +33,9 @@
   residentBytes: number;
 }
 
-/** A server in a process of its own. */
+/** A server in a separate process. */
 export interface ServerProcess {
-  place: ServerPlace;
+  access: ServerAccess;
   measureUsage(): Promise<ProcessUsage>;
   stop(): void;
 }
@@ -43,8 +43,8 @@
 /** The roles a process can have. */
 export type Role = 'engine' | 'pass-through' | 'instance';
 
-/** How the engine answers. */
-export interface EnginePace {
+/** Length of the engine's responses and time between their tokens. */
+export interface EngineTiming {
   tokens: number;
   betweenTokensMs: number;
 }
@@ -63,18 +63,18 @@
 
 const STARTERS: Record<
   Role,
-  (engines: string[], pace: EnginePace) => Promise<ServerPlace>
+  (engines: string[], timing: EngineTiming) => Promise<ServerAccess>
 > = {
-  async engine(_engines, pace) {
+  async engine(_engines, timing) {
     const servers = await Promise.all(
       Array.from({length: ENGINES}, () =>
-        startEngineServer({...pace, firstTokenMs: 0, maxRunning: 4096}),
+        startEngineServer({...timing, firstTokenMs: 0, maxRunning: 4096}),
       ),
     );
-    return buildPlace(servers.map(({address}) => address));
+    return buildAccess(servers.map(({address}) => address));
   },
   async 'pass-through'([engine]) {
-    return buildPlace([await startPassThrough(engine)]);
+    return buildAccess([await startPassThrough(engine)]);
   },
   async instance(engines) {
     const platform = createMemoryPlatform();
@@ -87,28 +87,28 @@
       clock: createSystemClock(),
       log: createSilentLog(),
     });
-    return buildPlace([callersAddress], secret);
+    return buildAccess([callersAddress], secret);
   },
 };
 
-function buildPlace(addresses: string[], key = 'none'): ServerPlace {
+function buildAccess(addresses: string[], key = 'none'): ServerAccess {
   return {address: addresses[0], addresses, key};
 }
 
-/** Starts this module again as a process with a role. */
+/** Starts this module as a child process with the given role. */
 export async function startServerProcess(
   role: Role,
   engines: readonly string[],
-  pace: EnginePace,
+  timing: EngineTiming,
 ): Promise<ServerProcess> {
   const child = fork(fileURLToPath(import.meta.url), [
     role,
     engines.join(),
-    JSON.stringify(pace),
+    JSON.stringify(timing),
   ]);
-  const place = await receiveMessage<ServerPlace>(child);
+  const access = await receiveMessage<ServerAccess>(child);
   return {
-    place,
+    access,
     measureUsage() {
       child.send('usage');
       return receiveMessage<ProcessUsage>(child);
@@ -119,7 +119,8 @@
 
 function receiveMessage<Message>(child: ChildProcess): Promise<Message> {
   return new Promise((resolve, reject) => {
-    const handleExit = () => reject(new Error('a server process ended'));
+    const handleExit = () =>
+      reject(new Error('a server process exited before it responded'));
     child.once('exit', handleExit);
     child.once('message', message => {
       child.off('exit', handleExit);
@@ -137,12 +138,12 @@
 }
 
 if (process.argv[1] === fileURLToPath(import.meta.url)) {
-  const [role, engines, pace] = process.argv.slice(2);
+  const [role, engines, timing] = process.argv.slice(2);
   process.on('message', () => process.send?.(measureOwnUsage()));
   process.on('disconnect', () => process.exit(0));
-  const place = await STARTERS[role as Role](
+  const access = await STARTERS[role as Role](
     engines.split(','),
-    JSON.parse(pace),
+    JSON.parse(timing),
   );
-  process.send?.(place);
+  process.send?.(access);
 }
