--- a/eslint.config.js
+++ b/eslint.config.js
@@ -4,13 +4,13 @@
 
 const VERBS = readVerbs();
 
-/** The verbs a function name may start with: the first words of docs/VERBS.md's list. */
+/** Reads the verbs that a function name may start with from the list in docs/VERBS.md. */
 function readVerbs() {
   const text = readFileSync(new URL('docs/VERBS.md', import.meta.url), 'utf8');
   return new Set([...text.matchAll(/^- `([a-z]+)`/gm)].map(match => match[1]));
 }
 
-/** Refuses a function whose name does not start with a listed verb. */
+/** Reports a function declaration whose name does not start with a listed verb. */
 const verbFirst = {
   meta: {
     type: 'suggestion',
@@ -82,8 +82,8 @@
     rules: {'@typescript-eslint/no-floating-promises': 'off'},
   },
   {
-    // Decisions are played on virtual time: I/O or a real clock in them would
-    // make a play's verdict depend on the machine.
+    // Simulations run the decisions on virtual time. With I/O or a real clock in
+    // them, the result of a simulation would depend on the machine.
     files: ['src/decisions/**/*.ts'],
     ignores: ['**/*.test.ts'],
     rules: {
--- a/scripts/build_binary.js
+++ b/scripts/build_binary.js
@@ -1,4 +1,4 @@
-/** Makes dist/mulberryrouter: the program and Node.js in one executable. */
+/** Builds dist/mulberryrouter, one executable with the program and Node.js. */
 import {execFileSync} from 'node:child_process';
 import {chmodSync, copyFileSync, mkdirSync, writeFileSync} from 'node:fs';
 import esbuild from 'esbuild';
--- a/scripts/build_site.js
+++ b/scripts/build_site.js
@@ -1,28 +1,28 @@
 /**
- * Makes what one instance on the operators' platform loads: target/program.cjs in
- * one file, a code cache beside it, and target/mulberryrouter.cjs that starts it.
+ * Builds what an instance on the operators' platform loads: the program in one file,
+ * target/program.cjs, its code cache, and the launcher target/mulberryrouter.cjs.
  */
 import {spawnSync} from 'node:child_process';
 import {readFileSync, rmSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 import esbuild from 'esbuild';
 
-/** Where all of it goes, unless the first argument names another folder. */
+/** Output folder; the first argument overrides the default. */
 const FOLDER = process.argv[2] ?? 'target';
 const CODE_CACHE = `${FOLDER}/program.cache`;
 const RECORDER = `${FOLDER}/record_code_cache.cjs`;
 const REHEARSAL = `${FOLDER}/rehearse_start.mjs`;
 
 /**
- * Libraries of which an instance uses a part. Every module that is loaded is
- * compiled at each start and held in memory; after a loss of all instances,
- * callers wait for that on the weakest machine.
+ * Libraries of which an instance uses only a part. Every loaded module is compiled at
+ * each start and stays in memory; after a loss of all instances, callers wait for this
+ * on the weakest machine.
  */
 const PARTLY_USED = /^(undici|prom-client)$/;
 
 /**
- * Modules that libraries load, or try to, and an instance never calls: HTTP/2,
- * log files that rotate, traces of the operating system, source maps.
+ * Modules that libraries load or try to load, but an instance never calls: HTTP/2, log
+ * file rotation, operating system traces, source maps.
  */
 const UNUSED = /^(\.\/client-h2(\.js)?|mv|dtrace-provider|source-map-support)$/;
 
@@ -55,22 +55,31 @@
   });
 }
 
-/** The flags that the deploy file starts instances with; a cache is good for no others. */
+/**
+ * Reads the Node.js flags with which the deploy file starts instances. A code cache is
+ * valid only for the flags it was made with.
+ */
 function readNodeFlags() {
   const deployFile = readFileSync('deploy/system.toml', 'utf8');
   const run = /^run = "node (.*) target\/mulberryrouter\.cjs"$/m.exec(
     deployFile,
   );
-  if (!run) throw new Error("deploy/system.toml: no 'run' starts the launcher");
+  if (!run)
+    throw new Error(
+      "deploy/system.toml: no 'run' command starts target/mulberryrouter.cjs",
+    );
   return run[1].split(' ');
 }
 
-/** Instances start without a cache as well, only later. */
+/**
+ * Records the code cache. A failure is only printed, because instances also start
+ * without the cache, but more slowly.
+ */
 function recordCodeCache() {
   rmSync(CODE_CACHE, {force: true});
   const words = [...readNodeFlags(), RECORDER];
   const {status, stderr} = spawnSync(process.execPath, [REHEARSAL, ...words]);
-  if (status !== 0) console.error(`no code cache was made: ${stderr}`);
+  if (status !== 0) console.error(`recording the code cache failed: ${stderr}`);
 }
 
 await buildFile('platform/main.ts', `${FOLDER}/program.cjs`, {
--- a/scripts/site_modules/compile_program.cjs
+++ b/scripts/site_modules/compile_program.cjs
@@ -1,4 +1,4 @@
-/** Compiles the program, from the code cache that the build has kept beside it. */
+/** Compiles the program, using the code cache that the build stored beside it. */
 'use strict';
 const {readFileSync} = require('node:fs');
 const {join} = require('node:path');
@@ -7,7 +7,7 @@
 const PROGRAM = join(__dirname, 'program.cjs');
 const CODE_CACHE = join(__dirname, 'program.cache');
 
-/** Undefined where the build kept none; the program then starts without. */
+/** Returns undefined if the build stored no cache; the program then starts without one. */
 function loadCodeCache() {
   try {
     return readFileSync(CODE_CACHE);
@@ -17,7 +17,7 @@
   }
 }
 
-/** Undefined for `cachedData` compiles from the source alone. */
+/** Compiles from source alone if `cachedData` is undefined. */
 function compileProgram(cachedData) {
   const source = readFileSync(PROGRAM, 'utf8');
   const script = new Script(
--- a/scripts/site_modules/launch.cjs
+++ b/scripts/site_modules/launch.cjs
@@ -1,7 +1,7 @@
 /**
- * Starts the program. Compiling it takes a weak machine longer than all else that
- * a start does before it listens, and after a loss of all instances every caller
- * waits for that.
+ * Starts the program from the code cache. On a weak machine, compiling takes longer than
+ * everything else before the instance listens, and after a loss of all instances every
+ * caller waits for it.
  */
 'use strict';
 const {
@@ -10,8 +10,8 @@
   runProgram,
 } = require('./compile_program.cjs');
 
-// Without a handler the signal ends the process, which reads its settings anew
-// in any case: they are read after all that is loaded here.
+// Without a handler, SIGHUP would end the process. Ignoring it here loses nothing,
+// because the settings are read only after the program has been loaded.
 process.on('SIGHUP', () => {});
 
 runProgram(compileProgram(loadCodeCache()));
--- a/scripts/site_modules/record_code_cache.cjs
+++ b/scripts/site_modules/record_code_cache.cjs
@@ -1,4 +1,7 @@
-/** Runs the program and keeps what was compiled once SIGUSR2 says that it is at work. */
+/**
+ * Runs the program and, on SIGUSR2, stores the code compiled so far as the code cache.
+ * The build sends it once the instance has answered a request and a bundle.
+ */
 'use strict';
 const {writeFileSync} = require('node:fs');
 const {
--- a/scripts/site_modules/undici.mjs
+++ b/scripts/site_modules/undici.mjs
@@ -1,4 +1,7 @@
-/** What an instance uses of undici: its index loads fetch, WebSocket, caches and mocks too. */
+/**
+ * Exports only the parts of undici that an instance uses. The package's index also loads
+ * fetch, WebSocket, caches and mocks.
+ */
 import Agent from 'undici/lib/dispatcher/agent.js';
 import Dispatcher from 'undici/lib/dispatcher/dispatcher.js';
 import request from 'undici/lib/api/api-request.js';
