--- a/src/cli/jobs/jobs_client.ts
+++ b/src/cli/jobs/jobs_client.ts
@@ -53,7 +53,10 @@
   idempotencyKey: string | undefined;
 }
 
-/** Calls one instance with one key. All methods reject with JobsCallError on failure. */
+/**
+ * Calls one instance with one key. Methods reject with JobsCallError if the instance
+ * refuses the call or cannot be reached.
+ */
 export interface JobsClient {
   /** Streams a bundle from disk; returns the file that the instance created from it. */
   upload(path: string): Promise<{id: string; items: number}>;
--- a/src/cli/run_cli.ts
+++ b/src/cli/run_cli.ts
@@ -26,7 +26,7 @@
 
 const EXIT_USAGE = 2;
 
-/** Runs the command that `argv` names and sets `process.exitCode`; never rejects. */
+/** Runs the command that `argv` names; prints its failure and sets the exit code. */
 export async function runCli(argv: readonly string[]): Promise<void> {
   const config = await createConfig();
   const {id, rest} = findCommand(argv);
