--- a/src/instance/gateway_instance.ts
+++ b/src/instance/gateway_instance.ts
@@ -12,7 +12,10 @@
 import {createGatewayParts, type GatewayPlatform} from './gateway_parts.js';
 import type {GatewaySettings} from './gateway_settings.js';
 import {spawnTasks} from './instance_tasks.js';
-import {ENTRY_UPKEEP_MS, HEARTBEAT_INTERVAL_MS} from './members/constants.js';
+import {
+  ENTRY_UPKEEP_INTERVAL_MS,
+  HEARTBEAT_INTERVAL_MS,
+} from './members/constants.js';
 import {startOperators} from './operators/operators.js';
 import type {RegistrationListener} from './members/endpoint_directory.js';
 import type {PeerKeys} from './peers/peer_keys.js';
@@ -156,7 +159,7 @@
   }
 
   const tasks = spawnTasks(system, clock, [
-    {name: 'entries', everyMs: ENTRY_UPKEEP_MS, run: keepEntries},
+    {name: 'entries', everyMs: ENTRY_UPKEEP_INTERVAL_MS, run: keepEntries},
     {
       name: 'heartbeats',
       everyMs: HEARTBEAT_INTERVAL_MS,
--- a/src/instance/gateway_parts.ts
+++ b/src/instance/gateway_parts.ts
@@ -145,7 +145,7 @@
         generation: routing.getVersion(),
         storeReachable: platform.getStoreLostAt() === undefined,
       }),
-      readStoreRun: endpoints.computeRun,
+      readAnswerPeriod: endpoints.computeAnswerPeriod,
     },
   );
   members.subscribe(() => {
--- a/src/instance/members/constants.ts
+++ b/src/instance/members/constants.ts
@@ -1,63 +1,89 @@
 /** Constants of membership. Times in ms. */
 
-/** Time between two heartbeats to the same ring neighbour. */
+/** Interval between two heartbeats to the same ring neighbour. */
 export const HEARTBEAT_INTERVAL_MS = 1000;
 
-/** A heartbeat without an answer for this long has failed. */
+/** A heartbeat fails if its response takes longer than this. */
 export const HEARTBEAT_TIMEOUT_MS = 700;
 
 /**
- * Neighbours on the ring that each instance watches. With three, an instance
- * goes unwatched only if its three predecessors die within two seconds.
+ * Number of neighbours on the ring that each instance watches. With 3, an
+ * instance goes unwatched only if its 3 predecessors die within two seconds.
  */
 export const RING_NEIGHBOURS = 3;
 
-/** Most ring neighbours probed, suspected ones included. */
+/**
+ * Maximum number of ring neighbours probed in one round, suspected ones
+ * included.
+ */
 export const MAX_RING_PROBES = 6;
 
-/** One witness in each other failure domain is asked every so many beats. */
-export const WITNESS_EVERY_BEATS = 5;
+/**
+ * Every so many heartbeat rounds, one instance in each other failure domain (a
+ * witness) gets a heartbeat too.
+ */
+export const WITNESS_INTERVAL_ROUNDS = 5;
 
-/** The same while this instance cannot reach the store: doubt is urgent. */
-export const WITNESS_EVERY_BEATS_IN_DOUBT = 2;
+/**
+ * The same while this instance cannot reach the store: what the witnesses
+ * report then decides whether it may go on serving.
+ */
+export const WITNESS_INTERVAL_ROUNDS_WITHOUT_STORE = 2;
 
-/** Heartbeats in a row that must fail before an instance is suspected. */
+/** Consecutive heartbeats that must fail before an instance is suspected. */
 export const FAILURES_TO_SUSPECT = 2;
 
-/** The same when most targets fail: then it is more likely this instance. */
-export const FAILURES_TO_SUSPECT_IN_DOUBT = 6;
+/**
+ * The same when most heartbeat targets fail at once: then the fault is more
+ * likely at this instance.
+ */
+export const FAILURES_TO_SUSPECT_WHEN_MOST_FAIL = 6;
 
-/** Pieces of news in one message, newest first: about 1 KB. */
-export const MAX_NEWS_PER_HEARTBEAT = 12;
+/**
+ * Maximum number of member updates in one heartbeat, newest first: about 1 KB.
+ */
+export const MAX_UPDATES_PER_HEARTBEAT = 12;
 
-/** News is passed on for this long; views converge in a few beats. */
-export const NEWS_LIFETIME_MS = 20_000;
+/**
+ * A member update is propagated for this long. Views converge within a few
+ * heartbeat rounds.
+ */
+export const UPDATE_LIFETIME_MS = 20_000;
 
-/** Records of instances that are no longer listed are kept for this long. */
+/**
+ * Records of instances that are no longer listed are retained for this long.
+ */
 export const RECORD_LIFETIME_MS = 120_000;
 
-/** News younger than this goes to the witnesses with every beat. */
-export const FRESH_NEWS_MS = 3000;
+/**
+ * While an update is younger than this, witnesses get a heartbeat in every
+ * round.
+ */
+export const FRESH_UPDATE_MS = 3000;
 
 /**
  * The row of an instance that was silent for this long is deleted. Until then
- * it counts as one that may hold its share of rates; one that was only cut off
- * enters itself again when it returns.
+ * the instance counts as a possible holder of its share of rate limits. One
+ * that was only cut off registers again when it returns.
  */
-export const SILENT_ENTRY_MS = 6000;
+export const SILENT_ENTRY_TIMEOUT_MS = 6000;
 
 /**
- * The same for an instance that sees half of the fleet or less: more likely it
- * is cut off itself, and cuts seldom last so long.
+ * The same timeout when this instance sees half of the fleet or less: it is
+ * then more likely to be cut off itself, and such cuts seldom last this long.
  */
-export const SILENT_ENTRY_ALONE_MS = 15_000;
+export const SILENT_ENTRY_MINORITY_TIMEOUT_MS = 15_000;
 
 /**
- * Intervals between renewals that the store must be silent before a registration
- * can lapse: it does after three without one, and the first may have been nearly
- * over when the silence began.
+ * Number of renewal intervals for which the store must be silent before a
+ * registration can lapse. A registration lapses after 3 intervals without a
+ * renewal, but the first of them may have been nearly over when the silence
+ * began.
  */
 export const INTERVALS_TO_LAPSE = 2;
 
-/** Each instance looks this often after its own row and those of the dead. */
-export const ENTRY_UPKEEP_MS = 1000;
+/**
+ * Interval at which each instance checks its own row and the rows of dead
+ * instances.
+ */
+export const ENTRY_UPKEEP_INTERVAL_MS = 1000;
--- a/src/instance/members/endpoint_directory.test.ts
+++ b/src/instance/members/endpoint_directory.test.ts
@@ -1,4 +1,7 @@
-/** Endpoints that leave, and registrations that lapse with the store. */
+/**
+ * Endpoints that leave, and registrations that lapse while the store is
+ * unavailable.
+ */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createSilentLog} from '../../common/log.js';
@@ -30,7 +33,10 @@
 
 const BOTH = [makeEndpoint('i-1'), makeEndpoint('i-2')];
 
-/** Knows both endpoints, long after it started. */
+/**
+ * Creates a directory that has listed both endpoints and has read the store for
+ * 5 s.
+ */
 function startDirectory() {
   const clock = createVirtualClock();
   const reports: {storeRun?: AnswerRun}[] = [];
@@ -61,10 +67,11 @@
     assert.deepEqual(listNames(), ['i-1']);
   });
 
-  describe('after an outage of the store for everybody', () => {
-    // Guards against refusals for want of endpoints: registrations lapse while
-    // the store is away, and the first answer after it lacks them.
-    it('are kept until they have had time to return', () => {
+  describe('after an outage of the store for all instances', () => {
+    // Guards against refused requests because no endpoint is known:
+    // registrations lapse while the store is unavailable, so the first response
+    // after the outage lacks them.
+    it('are retained until they have had time to register again', () => {
       const {clock, directory, listNames} = startDirectory();
       clock.advance(OUTAGE_MS);
       directory.noteAnswer();
@@ -74,7 +81,7 @@
       assert.deepEqual(listNames(), ['i-1']);
     });
 
-    it('stay when they return in time', () => {
+    it('stay when they register again in time', () => {
       const {clock, directory, listNames} = startDirectory();
       clock.advance(OUTAGE_MS);
       directory.noteAnswer();
@@ -84,9 +91,10 @@
       assert.deepEqual(listNames(), ['i-1', 'i-2']);
     });
 
-    it('are given no more time by an instance that notices late', () => {
-      // Guards against requests to an endpoint that left: the time to notice the
-      // store's return and the time to return add up.
+    it('get no extra time from an instance that notices the recovery late', () => {
+      // Guards against requests to an endpoint that has left: the delay until
+      // this instance notices that the store has recovered must not be added to
+      // the time allowed for registering again.
       const {clock, reports, directory, listNames} = startDirectory();
       clock.advance(OUTAGE_MS);
       const from = clock.now();
@@ -100,9 +108,9 @@
     });
   });
 
-  describe('after this instance alone was without the store', () => {
-    // Guards against requests to endpoints that left meanwhile.
-    it('are gone when they are missing', () => {
+  describe('after only this instance was without store access', () => {
+    // Guards against requests to endpoints that left during the outage.
+    it('are removed when they are missing', () => {
       const {clock, reports, directory, listNames} = startDirectory();
       clock.advance(OUTAGE_MS);
       reports.push({storeRun: {from: 0, to: clock.now() - 1000}});
@@ -111,7 +119,7 @@
       assert.deepEqual(listNames(), ['i-1']);
     });
 
-    it('are gone as soon as a peer tells that it was served', () => {
+    it('are removed once a peer reports that the store answered it', () => {
       const {clock, reports, directory, listNames} = startDirectory();
       clock.advance(OUTAGE_MS);
       directory.noteAnswer();
@@ -123,7 +131,7 @@
     });
   });
 
-  it('are gone when missing after a silence too short to lapse in', () => {
+  it('are removed when missing after a silence too short for a lapse', () => {
     const {clock, directory, listNames} = startDirectory();
     clock.advance(INTERVALS_TO_LAPSE * HEARTBEAT_MS - 1);
     directory.noteAnswer();
--- a/src/instance/members/endpoint_directory.ts
+++ b/src/instance/members/endpoint_directory.ts
@@ -1,7 +1,8 @@
 /**
- * The endpoints, by their registrations. One that is missing has left, unless
- * the registration may have lapsed while the store was away; then the endpoint is
- * kept until it has had time to return.
+ * Tracks the endpoints by their registrations in the store. An endpoint whose
+ * registration is missing has left, unless the registration may have lapsed
+ * while the store was unavailable. In that case the endpoint is retained until
+ * it has had time to register again.
  */
 import type {Clock} from '../../common/clock.js';
 import type {Log} from '../../common/log.js';
@@ -15,43 +16,56 @@
 import {INTERVALS_TO_LAPSE} from './constants.js';
 import type {WitnessReport} from './members.js';
 
-/** One registration as it is now; without an endpoint there is none. */
+/**
+ * A change of one registration. Without `endpoint` the registration was
+ * removed.
+ */
 export interface RegistrationChange {
   name: string;
   endpoint?: ListedInstance;
 }
 
-/** Told of the registrations, and of each answer of the store before it. */
+/**
+ * Receives the registrations, and a call of `noteAnswer` for each response of
+ * the store before its content.
+ */
 export interface RegistrationListener {
   noteAnswer(): void;
   reset(endpoints: readonly ListedInstance[]): void;
   change(changes: readonly RegistrationChange[]): void;
 }
 
-/** Endpoints as this instance knows them. */
+/** The endpoints known to this instance. */
 export interface EndpointDirectory extends RegistrationListener {
   list(): ListedInstance[];
-  /** Whether the registrations have been read at all. */
+  /** Whether the registrations have been read at least once. */
   isKnown(): boolean;
-  /** The answers of the store that this instance knows of. */
-  computeRun(): AnswerRun | undefined;
-  /** Drops what is missing and can no longer be expected to return. */
+  /**
+   * The period in which the store answered this instance or a peer, as far as
+   * known.
+   */
+  computeAnswerPeriod(): AnswerRun | undefined;
+  /**
+   * Removes missing endpoints that can no longer be expected to register again.
+   */
   expire(now: number): void;
 }
 
-/** What the directory works with. */
 export interface EndpointDirectoryDependencies {
   clock: Clock;
   log: Log;
-  /** Time between two renewals of a registration, in ms. */
+  /** Interval between two renewals of a registration, in ms. */
   heartbeatMs: number;
-  /** What peers last said, the store's answers to them included. */
+  /**
+   * The newest reports of peers, with the periods in which the store answered
+   * them.
+   */
   listReports: () => readonly Pick<WitnessReport, 'storeRun'>[];
-  /** Told after each change. */
+  /** Called after each change. */
   onChange: () => void;
 }
 
-/** Starts without endpoints. */
+/** Creates a directory without endpoints. */
 export function createEndpointDirectory({
   clock,
   log,
@@ -62,25 +76,26 @@
   const lapseMs = INTERVALS_TO_LAPSE * heartbeatMs;
   const endpoints = new Map<string, ListedInstance>();
   const missing = new Set<string>();
-  let ownRun: AnswerRun | undefined;
+  let ownPeriod: AnswerRun | undefined;
   let isKnown = false;
 
-  function computeRun(): AnswerRun | undefined {
+  function computeAnswerPeriod(): AnswerRun | undefined {
     return listReports().reduce(
-      (run, {storeRun}) => (storeRun ? mergeRuns(run, storeRun, lapseMs) : run),
-      ownRun,
+      (old, {storeRun}) => (storeRun ? mergeRuns(old, storeRun, lapseMs) : old),
+      ownPeriod,
     );
   }
 
-  function isDoubtful(now: number): boolean {
-    const run = computeRun();
-    return run !== undefined && shouldKeepMissing(run, lapseMs, now);
+  function isLapsePossible(now: number): boolean {
+    const period = computeAnswerPeriod();
+    return period !== undefined && shouldKeepMissing(period, lapseMs, now);
   }
 
   function scheduleExpiry(now: number) {
-    const from = computeRun()?.from ?? now;
+    const from = computeAnswerPeriod()?.from ?? now;
     const waitMs = from + REGISTRATION_RETURN_MS - now;
-    // In a silence it is the next answer, here or at a peer, that decides.
+    // While the store is silent there is nothing to schedule: its next
+    // response, to this instance or to a peer, decides.
     if (waitMs > 0) clock.schedule(waitMs, () => expire(clock.now()));
   }
 
@@ -92,31 +107,37 @@
   function remove(name: string, now: number) {
     const endpoint = endpoints.get(name);
     if (!endpoint || missing.has(name)) return;
-    if (!isDoubtful(now)) {
+    if (!isLapsePossible(now)) {
       endpoints.delete(name);
       return;
     }
     missing.add(name);
     log.info(
       {name, state: endpoint.state},
-      'registration missing after an outage: kept',
+      'registration missing after a store outage; endpoint retained until it can register again',
     );
   }
 
   function expire(now: number) {
     if (missing.size === 0) return;
-    if (isDoubtful(now)) {
+    if (isLapsePossible(now)) {
       scheduleExpiry(now);
       return;
     }
     for (const name of missing) endpoints.delete(name);
-    log.info({endpoints: [...missing]}, 'lapsed registrations did not return');
+    log.info(
+      {endpoints: [...missing]},
+      'lapsed registrations were not renewed in time; endpoints removed',
+    );
     missing.clear();
     onChange();
   }
 
-  /** Takes one answer in, with what it leaves in doubt. */
-  function takeIn(noteAll: (now: number) => void) {
+  /**
+   * Applies one response of the store and schedules the expiry of endpoints
+   * that are missing from it.
+   */
+  function applyResponse(noteAll: (now: number) => void) {
     const now = clock.now();
     noteAll(now);
     if (missing.size > 0) scheduleExpiry(now);
@@ -126,16 +147,16 @@
   return {
     list: () => [...endpoints.values()],
     isKnown: () => isKnown,
-    computeRun,
+    computeAnswerPeriod,
     expire,
     noteAnswer() {
       const now = clock.now();
-      ownRun = mergeRuns(ownRun, {from: now, to: now}, lapseMs);
+      ownPeriod = mergeRuns(ownPeriod, {from: now, to: now}, lapseMs);
     },
     reset(registered) {
       isKnown = true;
       const present = new Set(registered.map(({name}) => name));
-      takeIn(now => {
+      applyResponse(now => {
         for (const name of [...endpoints.keys()]) {
           if (!present.has(name)) remove(name, now);
         }
@@ -143,7 +164,7 @@
       });
     },
     change(changes) {
-      takeIn(now => {
+      applyResponse(now => {
         for (const {name, endpoint} of changes) {
           if (endpoint) note(endpoint);
           else remove(name, now);
--- a/src/instance/members/entry_directory.test.ts
+++ b/src/instance/members/entry_directory.test.ts
@@ -1,10 +1,13 @@
-/** Rows of instances that start, leave, die and are cut off. */
+/** Rows of instances that start, leave, die or are cut off. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createSilentLog} from '../../common/log.js';
 import {createMemoryPlatform} from '../../stand_ins/platform/memory_platform.js';
 import {createMemoryWatch} from '../../testing/memory_watch.js';
-import {SILENT_ENTRY_ALONE_MS, SILENT_ENTRY_MS} from './constants.js';
+import {
+  SILENT_ENTRY_MINORITY_TIMEOUT_MS,
+  SILENT_ENTRY_TIMEOUT_MS,
+} from './constants.js';
 import {createEntryDirectory} from './entry_directory.js';
 import type {Members} from './members.js';
 
@@ -32,7 +35,7 @@
   return {join};
 }
 
-/** What heartbeats tell: who is live, and who was found silent. */
+/** What the heartbeats have found: the live instances and the silent ones. */
 function makeMembers(live: string[], silent: string[]): Members {
   return {
     listLive: () => live.map(name => ({name})),
@@ -54,7 +57,7 @@
 }
 
 describe('the registered instances', () => {
-  it('are known to all with what others need of them', async () => {
+  it('are listed by every instance with all fields', async () => {
     const {directories} = await joinAll(NAMES.slice(0, 2));
     const [, found] = directories[0].list();
     assert.deepEqual(found, {
@@ -69,33 +72,34 @@
     });
   });
 
-  it('follow a restart and a graceful end', async () => {
+  it('reflect a restart and a graceful shutdown', async () => {
     const {fleet, directories} = await joinAll(NAMES.slice(0, 2));
     await fleet.join('entry-2', 'entry-2-run-2').register();
     assert.equal(directories[0].findIncarnation('entry-2'), 'entry-2-run-2');
-    // The run before ends late: it must not take the new one's row away.
+    // The earlier run shuts down late: it must not delete the row of the new
+    // run.
     await directories[1].leave();
     assert.deepEqual(listNames(directories[0]), ['entry-1', 'entry-2']);
   });
 
-  it('lose those that were silent for long, by one instance only', async () => {
+  it('lose an instance after a long silence, removed by one peer only', async () => {
     const {directories} = await joinAll(NAMES);
     const members = makeMembers(NAMES.slice(1), ['entry-1']);
     const [, ...others] = directories;
     for (const each of others) await each.removeSilent(members, 0);
     for (const each of others) {
-      await each.removeSilent(members, SILENT_ENTRY_MS - 1);
+      await each.removeSilent(members, SILENT_ENTRY_TIMEOUT_MS - 1);
     }
     assert.equal(others[0].list().length, 5);
     for (const each of others)
-      await each.removeSilent(members, SILENT_ENTRY_MS);
+      await each.removeSilent(members, SILENT_ENTRY_TIMEOUT_MS);
     assert.deepEqual(listNames(others[0]), NAMES.slice(1));
   });
 
-  it('come back when they were only cut off', async () => {
+  it('register again when they were only cut off', async () => {
     const {directories} = await joinAll(NAMES);
     const members = makeMembers(NAMES.slice(1), ['entry-1']);
-    for (const at of [0, SILENT_ENTRY_MS]) {
+    for (const at of [0, SILENT_ENTRY_TIMEOUT_MS]) {
       for (const each of directories.slice(1))
         await each.removeSilent(members, at);
     }
@@ -103,19 +107,20 @@
     assert.equal(directories[1].list().length, 5);
   });
 
-  it('are not taken for dead by the smaller side of a cut', async () => {
+  it('are not removed early by the smaller side of a partition', async () => {
     // Two of five instances reach the store but not the others. Without the
-    // longer wait each side would delete the other's rows, which would come
-    // back at once, and all work would change hands with them.
+    // longer timeout each side would delete the rows of the other side. These
+    // instances would register again at once, and each time all work would move
+    // to other owners.
     const {directories} = await joinAll(NAMES);
     const few = makeMembers(NAMES.slice(0, 2), NAMES.slice(2));
-    for (const at of [0, SILENT_ENTRY_ALONE_MS - 1]) {
+    for (const at of [0, SILENT_ENTRY_MINORITY_TIMEOUT_MS - 1]) {
       await directories[0].removeSilent(few, at);
       await directories[1].removeSilent(few, at);
     }
     assert.equal(directories[0].list().length, 5);
-    await directories[0].removeSilent(few, SILENT_ENTRY_ALONE_MS);
-    await directories[1].removeSilent(few, SILENT_ENTRY_ALONE_MS);
+    await directories[0].removeSilent(few, SILENT_ENTRY_MINORITY_TIMEOUT_MS);
+    await directories[1].removeSilent(few, SILENT_ENTRY_MINORITY_TIMEOUT_MS);
     assert.deepEqual(listNames(directories[0]), NAMES.slice(0, 2));
   });
 });
--- a/src/instance/members/entry_directory.ts
+++ b/src/instance/members/entry_directory.ts
@@ -1,8 +1,8 @@
 /**
- * The entry instances, by the rows that each keeps of itself in the table.
- * Rows change only when an instance starts, leaves or is found dead, so that a
- * fleet of any size follows them for nearly nothing; whether an instance lives
- * is told by heartbeats.
+ * Tracks the entry instances by the row that each one writes of itself in the
+ * table. A row changes only when an instance starts, leaves or is found dead,
+ * so following the rows costs little at any fleet size. Whether an instance is
+ * alive is found by heartbeats.
  */
 import type {Log} from '../../common/log.js';
 import {
@@ -20,49 +20,52 @@
   TableStore,
 } from '../../stores/table_store.js';
 import {rankByRendezvous} from '../../decisions/instance_ranking.js';
-import {SILENT_ENTRY_ALONE_MS, SILENT_ENTRY_MS} from './constants.js';
+import {
+  SILENT_ENTRY_MINORITY_TIMEOUT_MS,
+  SILENT_ENTRY_TIMEOUT_MS,
+} from './constants.js';
 import type {Members, SelfDescription} from './members.js';
 
 const COLLECTION = 'instances';
 
-/** Rows of all entry instances. */
+/** The rows of all entry instances. */
 export interface EntryDirectory {
   list(): ListedInstance[];
   count(): number;
-  /** Whether the rows have been read at all. */
+  /** Whether the rows have been read at least once. */
   isKnown(): boolean;
-  /** The run of an instance that its row names. */
+  /** The incarnation in an instance's row. */
   findIncarnation(name: string): string | undefined;
-  /** Writes this instance's row where it is missing or another run's. */
+  /** Writes this instance's row if it is missing or belongs to another run. */
   register(): Promise<void>;
   /** Deletes this instance's row. */
   leave(): Promise<void>;
   /**
-   * Whether this instance sees more than half of the registered ones. When the
-   * fleet falls apart, only one side may take the other for dead: otherwise
-   * each takes the other's work over again and again, and none gets done.
+   * Whether this instance sees more than half of the registered instances as
+   * live. When the fleet is partitioned, only one side may treat the other as
+   * dead. Otherwise each side would take over the other's work again and again,
+   * and none of it would finish.
    */
   hasMajority(members: Members): boolean;
   /**
-   * Deletes rows of instances that were silent for SILENT_ENTRY_MS; without a
-   * majority for SILENT_ENTRY_ALONE_MS, so that a small rest of a fleet whose
-   * other instances are lost for good does not wait for ever.
+   * Deletes rows of instances that were silent for SILENT_ENTRY_TIMEOUT_MS.
+   * Without a majority the timeout is SILENT_ENTRY_MINORITY_TIMEOUT_MS, so that
+   * a few instances can still continue after all others were lost for good.
    */
   removeSilent(members: Members, now: number): Promise<void>;
   stop(): void;
 }
 
-/** What the directory works with. */
 export interface EntryDirectoryDependencies {
   self: SelfDescription;
   table: TableStore;
   watch: CollectionWatch;
   log: Log;
-  /** Told after each change. */
+  /** Called after each change. */
   onChange: () => void;
 }
 
-/** Follows the rows from now on. */
+/** Creates a directory and starts to watch the rows. */
 export function createEntryDirectory({
   self,
   table,
@@ -71,7 +74,7 @@
   onChange,
 }: EntryDirectoryDependencies): EntryDirectory {
   const rows = new Map<string, Row>();
-  /** Decoded once: a fleet's list is looked at for every request. */
+  /** Decoded once per change, because the list is read for every request. */
   const entries = new Map<string, ListedInstance>();
   const silentSince = new Map<string, number>();
   let isKnown = false;
@@ -118,7 +121,8 @@
       },
     ]);
     if (outcome.kind === 'committed') log.info(fields, 'instance registered');
-    // The row was replaced meanwhile: the next turn goes on from its version.
+    // The row was replaced meanwhile: the next call of register reads its
+    // version.
     else noteRow(self.name, undefined);
   }
 
@@ -134,7 +138,10 @@
     return members.listLive().length * 2 > rows.size;
   }
 
-  /** The live instance that ranks first for a dead one's name removes its row. */
+  /**
+   * Whether this instance ranks first among the live ones for a dead instance's
+   * name. Only that instance removes the row.
+   */
   function isRemover(name: string, members: Members): boolean {
     const live = members.listLive().filter(member => member.name !== name);
     return rankByRendezvous(name, live)[0]?.name === self.name;
@@ -156,9 +163,9 @@
     },
     hasMajority,
     async removeSilent(members, now) {
-      const patienceMs = hasMajority(members)
-        ? SILENT_ENTRY_MS
-        : SILENT_ENTRY_ALONE_MS;
+      const timeoutMs = hasMajority(members)
+        ? SILENT_ENTRY_TIMEOUT_MS
+        : SILENT_ENTRY_MINORITY_TIMEOUT_MS;
       for (const [name, row] of rows) {
         if (name === self.name || !members.isSuspected(name)) {
           silentSince.delete(name);
@@ -166,11 +173,11 @@
         }
         const since = silentSince.get(name) ?? now;
         silentSince.set(name, since);
-        if (now - since < patienceMs || !isRemover(name, members)) continue;
+        if (now - since < timeoutMs || !isRemover(name, members)) continue;
         const isRemoved = await removeRow(row);
         log.info(
           {name, silentMs: now - since, isRemoved},
-          'dead entry removed',
+          'row of a silent instance removed',
         );
       }
     },
--- a/src/instance/members/heartbeat_targets.ts
+++ b/src/instance/members/heartbeat_targets.ts
@@ -1,17 +1,21 @@
-/** Which peers an instance sends heartbeats to: a fixed number, never all. */
+/**
+ * Selects the peers to which an instance sends heartbeats: a bounded number at
+ * any fleet size.
+ */
 import {chooseByRendezvous} from '../../decisions/instance_ranking.js';
 import type {ListedInstance} from '../../stores/instance_list.js';
 import {MAX_RING_PROBES, RING_NEIGHBOURS} from './constants.js';
 
-/** The instance that chooses. */
-export interface Chooser {
+/** The instance that selects its witnesses. */
+export interface WitnessSelector {
   name: string;
   failureDomain: string;
 }
 
 /**
- * The next neighbours of `ring`, which begins after this instance: suspected ones are probed too, so that they
- * are found again, but do not count as watched neighbours.
+ * Selects the next neighbours on the ring. `ring` begins after this instance.
+ * Suspected neighbours get heartbeats too, so that their recovery is noticed,
+ * but they do not count as watched neighbours.
  */
 export function selectRingNeighbours(
   ring: readonly ListedInstance[],
@@ -27,9 +31,9 @@
   return targets;
 }
 
-/** One live instance in each other failure domain. */
+/** Selects one live instance in each other failure domain. */
 export function selectWitnesses(
-  self: Chooser,
+  self: WitnessSelector,
   candidates: readonly ListedInstance[],
 ): ListedInstance[] {
   const domains = new Map<string, ListedInstance[]>();
--- a/src/instance/members/instance_lease.test.ts
+++ b/src/instance/members/instance_lease.test.ts
@@ -21,10 +21,10 @@
   });
 
   it('fences an owner that was paused past its lease', async () => {
-    // The caller would see an item answered twice. The owner is paused, its
-    // row stays unchanged for a lease, another expires it and takes over;
-    // then the first wakes and commits. Its commit checks the row, which now
-    // says expired, so the table refuses it.
+    // Guards against an item that is answered twice: an owner is paused, its
+    // row stays unchanged for the duration of a lease, another instance expires
+    // the row and takes over, then the first one resumes and commits. Its
+    // commit checks the row, which now says `expired`, so the table refuses it.
     const {table} = createMemoryPlatform();
     const lease = createInstanceLease(table, 'run-a');
     const observer = createLeaseObserver(table);
@@ -37,9 +37,10 @@
     assert.equal(lease.isHeld(LEASE_DURATION_MS), false);
   });
 
-  it('goes on after a renewal whose answer was lost', async () => {
-    // The renewal takes effect, its answer is lost; the next one conflicts
-    // with it. Taking that for a takeover would stop a healthy instance.
+  it('continues after a renewal whose response was lost', async () => {
+    // Guards against stopping a healthy instance: the renewal takes effect, its
+    // response is lost, and the next renewal conflicts with it. That conflict
+    // is no takeover.
     const platform = createMemoryPlatform();
     const lease = createInstanceLease(platform.table, 'run-a');
     await lease.renew(0);
@@ -50,7 +51,7 @@
     assert.equal(lease.isHeld(LEASE_DURATION_MS + LEASE_RENEWAL_MS), true);
   });
 
-  it('goes on under a new incarnation after a lost lease', async () => {
+  it('continues under a new incarnation after a lost lease', async () => {
     const {table} = createMemoryPlatform();
     const lease = createInstanceLease(table, 'run-a', () => 'run-b');
     const observer = createLeaseObserver(table);
@@ -67,10 +68,10 @@
     assert.equal(current.kind, 'committed');
   });
 
-  it('outlives an outage that no owner could renew in', async () => {
-    // The store is down for an hour. The first observer to read it again sees
-    // a row unchanged for an hour; expiring it would take away everything that
-    // every instance owns, while all of them are alive.
+  it('survives a store outage in which no owner could renew', async () => {
+    // The store is down for an hour. The first observer that reads it again
+    // sees a row unchanged for an hour. Expiring it would take away everything
+    // that every instance owns, although all of them are alive.
     const platform = createMemoryPlatform();
     const lease = createInstanceLease(platform.table, 'run-a');
     const observer = createLeaseObserver(platform.table);
@@ -84,9 +85,10 @@
     assert.equal(lease.isHeld(3_601_000), true);
   });
 
-  it('is over at once when a successor binds its address', async () => {
+  it('ends at once when a successor binds its address', async () => {
     // An instance dies and is replaced on the same address within a second.
-    // Nobody waits out its lease: only one process can listen on an address.
+    // Nobody has to wait until its lease expires, because only one process can
+    // listen on an address.
     const {table} = createMemoryPlatform();
     const lease = createInstanceLease(table, 'run-a');
     await lease.renew(0);
--- a/src/instance/members/instance_lease.ts
+++ b/src/instance/members/instance_lease.ts
@@ -1,13 +1,13 @@
 /**
- * The one lease row of an instance. Whatever the instance owns in the table
- * (segments, buckets, orders) is owned through this row, so renewal costs one
- * write for each instance and not one for each thing owned.
+ * The lease row of an instance. Everything that the instance owns in the table
+ * (segments, buckets, orders) is owned through this row, so a renewal costs one
+ * write per instance instead of one per owned thing.
  *
- * Failure it answers: an owner is paused past its lease, another takes over,
- * and the first wakes and commits. Symptom: an item is answered twice. Taking
- * over first sets the row to `expired` by compare-and-set, and every commit of
- * an owner checks in its own transaction that its row is `held`: the table
- * orders the two, and no clock is compared with another.
+ * Failure: an owner is paused past its lease, another instance takes over, and
+ * the first one resumes and commits, so an item is answered twice. A takeover
+ * therefore first sets the row to `expired` by compare-and-set, and every
+ * commit of an owner checks in its own transaction that its row is `held`. The
+ * table orders the two writes, so no two clocks are compared.
  */
 import {generateId} from '../../common/ids.js';
 import type {
@@ -22,42 +22,48 @@
 
 /**
  * An owner that does not renew for this long may be taken over. Renewals are
- * the only store writes that grow with the fleet: 36 a second at 360 instances
- * (10 s leases cost 120, over a quarter of what the table gives). What must be
- * taken over faster does not wait for it: see releasePredecessor.
+ * the only store writes that grow with the fleet: 36 per second at 360
+ * instances. Leases of 10 s would cost 120 per second, over a quarter of the
+ * table's write capacity. Takeovers that must be faster do not wait for the
+ * lease: see releasePredecessor.
  */
 export const LEASE_DURATION_MS = 30_000;
 
-/** Renewed three times in a lease, so that two lost renewals do no harm. */
+/** 3 renewals per lease, so that two lost renewals do no harm. */
 export const LEASE_RENEWAL_MS = 10_000;
 
 /**
- * The owner stops using its lease this much before it could be taken over, so
- * that clocks that run at slightly different rates do no harm.
+ * The owner stops using its lease this long before others may take it over, so
+ * that clocks running at slightly different rates do no harm.
  */
 export const LEASE_MARGIN_MS = 2000;
 
 /** The lease of this instance. */
 export interface InstanceLease {
-  /** Changes after a lost lease: note it down with what is owned. */
+  /** Changes after a lost lease. Store it with everything that is owned. */
   readonly incarnation: string;
   /** Whether this instance may act as owner at `now`, on its own clock. */
   isHeld(now: number): boolean;
   /**
-   * Added to a transaction, makes it commit only while the lease is held.
-   * What was owned under an earlier incarnation must be checked under that one.
+   * An operation that lets a transaction commit only while the lease is held.
+   * What was acquired under an earlier incarnation must be checked with that
+   * one.
    */
   buildCheck(incarnation?: string): WriteOperation;
-  /** Takes or extends the lease; throws StoreError without an answer. */
+  /**
+   * Acquires or extends the lease. Throws StoreError if the store does not
+   * respond.
+   */
   renew(now: number): Promise<void>;
-  /** Ends it at once, so that others need not wait. */
+  /** Ends the lease at once, so that others need not wait for its expiry. */
   release(): Promise<void>;
 }
 
 /**
- * `incarnation` is unique to one run of the process. After a lost lease the
- * next renewal takes a new one of `generateIncarnation`: whoever saw the old
- * one expired may have taken over what it owned, so it can never be held again.
+ * `firstIncarnation` is unique to one run of the process. After a lost lease
+ * the next renewal takes a new one from `generateIncarnation`: an instance that
+ * saw the old one expired may have taken over what it owned, so the old one can
+ * never be held again.
  */
 export function createInstanceLease(
   table: TableStore,
@@ -86,10 +92,11 @@
   }
 
   /**
-   * A renewal whose answer was lost makes the next one conflict with itself;
-   * the row then still says `held`, and its version is the one to go on from.
+   * Reads the row after a conflict. If the response to a renewal was lost, the
+   * next renewal conflicts with it. The row then still says `held`, and
+   * renewals continue from its version.
    */
-  async function readVersionBack(): Promise<void> {
+  async function refreshVersion(): Promise<void> {
     const row = await table.get(key);
     lost = row !== undefined && row.fields.state !== 'held';
     version = row?.version ?? 0;
@@ -117,7 +124,7 @@
       if (lost) startNewIncarnation();
       if (await writeState('held')) {
         heldUntil = now + LEASE_DURATION_MS - LEASE_MARGIN_MS;
-      } else await readVersionBack();
+      } else await refreshVersion();
     },
     async release() {
       released = true;
@@ -133,9 +140,10 @@
 }
 
 /**
- * Ends the lease of the instance that had this address before. Having bound
- * the address proves that process dead, so nobody need wait for its lease.
- * Returns its incarnation, or undefined when there was none.
+ * Ends the lease of the instance that had this address before. Having bound the
+ * address proves that the earlier process is dead, so nobody needs to wait
+ * until its lease expires. Returns its incarnation, or undefined if there was
+ * none.
  */
 export async function releasePredecessor(
   table: TableStore,
@@ -171,34 +179,37 @@
   return outcome.kind === 'committed';
 }
 
-/** Judges the leases of other instances. */
+/** Observes the leases of other instances. */
 export interface LeaseObserver {
   /**
-   * Whether the owner's lease is over. A row unchanged for the length of a
-   * lease, on this instance's own clock, is set to `expired` first.
+   * Whether the owner's lease has ended. A row that stayed unchanged for the
+   * duration of a lease, on this instance's own clock, is set to `expired`
+   * first.
    */
   checkOver(incarnation: string, now: number): Promise<boolean>;
 }
 
-interface Sighting {
+interface Observation {
   version: number;
   since: number;
 }
 
-/** Remembers since when each row was seen unchanged. */
+/**
+ * Creates an observer that remembers since when each row has been unchanged.
+ */
 export function createLeaseObserver(table: TableStore): LeaseObserver {
-  const sightings = new Map<string, Sighting>();
+  const observations = new Map<string, Observation>();
 
   /**
-   * While the store is down no owner can renew: time that passed before a
-   * failed read proves nothing, or the first reader after an outage would
-   * expire every lease of the fleet.
+   * While the store is down no owner can renew, so time that passed before a
+   * failed read does not count. Otherwise the first reader after an outage
+   * would expire every lease of the fleet.
    */
   async function readRow(key: RowKey): Promise<Row | undefined> {
     try {
       return await table.get(key);
     } catch (error) {
-      sightings.clear();
+      observations.clear();
       throw error;
     }
   }
@@ -207,13 +218,13 @@
     async checkOver(incarnation, now) {
       const row = await readRow(buildLeaseKey(incarnation));
       if (!row || row.fields.state !== 'held') return true;
-      const seen = sightings.get(incarnation);
+      const seen = observations.get(incarnation);
       if (seen?.version !== row.version) {
-        sightings.set(incarnation, {version: row.version, since: now});
+        observations.set(incarnation, {version: row.version, since: now});
         return false;
       }
       if (now - seen.since < LEASE_DURATION_MS) return false;
-      sightings.delete(incarnation);
+      observations.delete(incarnation);
       return expireRow(table, row);
     },
   };
--- a/src/instance/members/members.test.ts
+++ b/src/instance/members/members.test.ts
@@ -12,15 +12,18 @@
 interface Fleet {
   clock: ReturnType<typeof createVirtualClock>;
   network: ReturnType<typeof createFakePeerNetwork>;
-  /** By name. */
+  /** Members as each instance sees them, by its name. */
   views: Map<string, Members>;
   kill(name: string): void;
   start(name: string, incarnation: string): Promise<void>;
-  /** Names whose view of `name` is `live`. */
-  listBelievers(name: string): string[];
+  /** Names of the instances that consider `name` live. */
+  listViewsWithLive(name: string): string[];
 }
 
-/** A fleet whose list never changes: it lags for the whole test. */
+/**
+ * Creates a fleet whose list never changes: it is out of date for the whole
+ * test.
+ */
 async function makeFleet(size: number): Promise<Fleet> {
   const clock = createVirtualClock();
   const network = createFakePeerNetwork(clock, HEARTBEAT_TIMEOUT_MS);
@@ -62,13 +65,13 @@
         limits: {} as never,
       }),
     );
-    sendBeat(name, members);
+    sendRound(name, members);
   }
 
-  function sendBeat(name: string, members: Members) {
+  function sendRound(name: string, members: Members) {
     if (views.get(name) !== members) return;
     void members.sendHeartbeats();
-    clock.schedule(HEARTBEAT_INTERVAL_MS, () => sendBeat(name, members));
+    clock.schedule(HEARTBEAT_INTERVAL_MS, () => sendRound(name, members));
   }
 
   for (const {name} of listed) {
@@ -84,7 +87,7 @@
       network.remove(views.get(name)!.self.address);
       views.delete(name);
     },
-    listBelievers: name =>
+    listViewsWithLive: name =>
       [...views]
         .filter(([, view]) => view.listLive().some(one => one.name === name))
         .map(([viewer]) => viewer),
@@ -92,16 +95,16 @@
 }
 
 describe('members', () => {
-  it('finds a dead member within seconds although the list shows it live', async t => {
-    // Callers of the dead instance's buckets would wait for it in vain. Its
-    // three predecessors on the ring miss two heartbeats, suspect it, and the
-    // suspicion reaches everyone on the heartbeats of the next few rounds.
+  it('detects a dead member within seconds although the list shows it live', async t => {
+    // Guards against requests that wait for a dead instance. Its three
+    // predecessors on the ring miss two responses and suspect it, and the
+    // suspicion reaches all others with the heartbeats of the next few rounds.
     const fleet = await makeFleet(60);
     await fleet.clock.advanceAsync(3000);
-    assert.equal(fleet.listBelievers('entry-7').length, 60);
+    assert.equal(fleet.listViewsWithLive('entry-7').length, 60);
     fleet.kill('entry-7');
     let elapsed = 0;
-    while (fleet.listBelievers('entry-7').length > 0 && elapsed < 20_000) {
+    while (fleet.listViewsWithLive('entry-7').length > 0 && elapsed < 20_000) {
       await fleet.clock.advanceAsync(250);
       elapsed += 250;
     }
@@ -111,19 +114,20 @@
     assert.ok(live.every(count => count === 59));
   });
 
-  it('takes a member back under a new incarnation', async () => {
+  it('accepts a restarted member under a new incarnation', async () => {
     const fleet = await makeFleet(10);
     fleet.kill('entry-3');
     await fleet.clock.advanceAsync(8000);
-    assert.deepEqual(fleet.listBelievers('entry-3'), []);
+    assert.deepEqual(fleet.listViewsWithLive('entry-3'), []);
     await fleet.start('entry-3', 'run-2');
     await fleet.clock.advanceAsync(6000);
-    assert.equal(fleet.listBelievers('entry-3').length, 10);
+    assert.equal(fleet.listViewsWithLive('entry-3').length, 10);
   });
 
-  it('takes a member back that was cut off and never died', async () => {
-    // A switch cuts one instance off for a minute. The others suspect it; when
-    // the cut mends it hears so, answers with a higher counter, and is live.
+  it('accepts a member again that was cut off and never died', async () => {
+    // A switch cuts one instance off for a minute, and the others suspect it.
+    // When the connection recovers, it learns of the suspicion, responds with a
+    // higher counter and counts as live again.
     const fleet = await makeFleet(10);
     const others = [...fleet.views.values()].filter(
       view => view.self.name !== 'entry-3',
@@ -133,15 +137,15 @@
       fleet.network.setCut(address, self.address, true);
     }
     await fleet.clock.advanceAsync(60_000);
-    assert.deepEqual(fleet.listBelievers('entry-3'), ['entry-3']);
+    assert.deepEqual(fleet.listViewsWithLive('entry-3'), ['entry-3']);
     for (const {self} of others) {
       fleet.network.setCut(address, self.address, false);
     }
     await fleet.clock.advanceAsync(8000);
-    assert.equal(fleet.listBelievers('entry-3').length, 10);
+    assert.equal(fleet.listViewsWithLive('entry-3').length, 10);
   });
 
-  it('suspects nobody when every heartbeat of one beat is lost', async () => {
+  it('suspects no member when all heartbeats of one round are lost', async () => {
     const fleet = await makeFleet(10);
     fleet.network.setFate(() => ({
       lost: fleet.clock.now() % 5000 < 900,
@@ -150,19 +154,19 @@
     }));
     await fleet.clock.advanceAsync(30_000);
     for (const name of fleet.views.keys()) {
-      assert.equal(fleet.listBelievers(name).length, 10);
+      assert.equal(fleet.listViewsWithLive(name).length, 10);
     }
   });
 
-  it('hears of a leaving member from itself', async () => {
+  it('learns from a leaving member that it leaves', async () => {
     const fleet = await makeFleet(10);
     const leaving = fleet.views.get('entry-5')!;
     void leaving.leave();
     await fleet.clock.advanceAsync(3000);
-    assert.deepEqual(fleet.listBelievers('entry-5'), []);
+    assert.deepEqual(fleet.listViewsWithLive('entry-5'), []);
   });
 
-  it('tells listeners of changes only', async () => {
+  it('notifies listeners of changes only', async () => {
     const fleet = await makeFleet(6);
     await fleet.clock.advanceAsync(3000);
     let changes = 0;
--- a/src/instance/members/members.ts
+++ b/src/instance/members/members.ts
@@ -1,7 +1,8 @@
 /**
- * Who else is there: the platform's list, corrected by what instances say of
- * themselves to a few peers. The list lags by seconds and shows a dead instance
- * as live; heartbeats find it silent within about two seconds.
+ * Tracks the members of the fleet. The platform's list lags by seconds and
+ * shows a dead instance as live. Heartbeats to a few peers detect a silent
+ * instance within about two seconds, and updates sent with them correct the
+ * list.
  */
 import type {Clock} from '../../common/clock.js';
 import {createSystemClock} from '../../common/clock.js';
@@ -11,62 +12,70 @@
 import type {InstanceList, ListedInstance} from '../../stores/instance_list.js';
 import {
   FAILURES_TO_SUSPECT,
-  FAILURES_TO_SUSPECT_IN_DOUBT,
-  MAX_NEWS_PER_HEARTBEAT,
-  WITNESS_EVERY_BEATS,
-  WITNESS_EVERY_BEATS_IN_DOUBT,
+  FAILURES_TO_SUSPECT_WHEN_MOST_FAIL,
+  MAX_UPDATES_PER_HEARTBEAT,
+  WITNESS_INTERVAL_ROUNDS,
+  WITNESS_INTERVAL_ROUNDS_WITHOUT_STORE,
 } from './constants.js';
 import type {Heartbeat} from './heartbeat_router.js';
 import {selectRingNeighbours, selectWitnesses} from './heartbeat_targets.js';
-import {createNewsBoard, type MemberNews} from './member_news.js';
+import {createMemberUpdates, type MemberUpdate} from './member_updates.js';
 
-/** This instance, as others see it. */
+/** This instance as others see it. */
 export interface SelfDescription {
   name: string;
-  /** Where peers reach it. */
+  /** Address at which peers reach it. */
   address: string;
   region: string;
   failureDomain: string;
   /** Unique to one run of the process. */
   incarnation: string;
-  /** When it started, in ms of a clock that all share, where that is told. */
+  /** Start time in ms of the clock that all instances share, if known. */
   startedAt?: number;
-  /** Cores it may use, where the list tells that. */
+  /** Cores that it may use, if the list has that number. */
   capacity?: number;
 }
 
-/** What a peer last said of itself, and when. */
+/** The last status that a peer reported, and when. */
 export interface WitnessReport {
   name: string;
   failureDomain: string;
   generation: number;
   storeReachable: boolean;
-  /** The store's answers that the peer knew of, on this instance's clock. */
+  /**
+   * Period in which the store answered, as reported by the peer, in this
+   * instance's time.
+   */
   storeRun?: AnswerRun;
-  /** This instance's monotonic time of sending the heartbeat it answered. */
+  /**
+   * Monotonic time at which this instance sent the heartbeat that the peer
+   * responded to.
+   */
   askedAt: number;
 }
 
-/** What members ask of the rest of the instance; all have defaults. */
+/** Clock and callbacks of the members. All have defaults. */
 export interface MembersOptions {
   clock?: Clock;
-  /** Rejects when the peer gives no answer in time. */
+  /** Rejects when the peer does not respond in time. */
   sendHeartbeat?(
     peer: ListedInstance,
     heartbeat: Heartbeat,
   ): Promise<Heartbeat>;
-  /** Passed along with each heartbeat and answer. */
+  /** Status that is sent with each heartbeat and each response. */
   readStatus?(): {generation: number; storeReachable: boolean};
-  /** Passed along with each answer to a heartbeat. */
-  readStoreRun?(): AnswerRun | undefined;
+  /**
+   * Period in which the store answered, sent with each response to a heartbeat.
+   */
+  readAnswerPeriod?(): AnswerRun | undefined;
 }
 
 /** Members and endpoints as this instance sees them now. */
 export interface Members extends StateSource {
   self: SelfDescription;
-  /** Entry instances that take work, this one included unless it leaves. */
+  /** Entry instances that accept work, with this one unless it is leaving. */
   listLive(): ListedInstance[];
-  /** Endpoints of a service that take new work. */
+  /** Endpoints of a service that accept new work. */
   listEndpoints(service: string): ListedInstance[];
   /** Live instances by preference for a key, the responsible one first. */
   rankInstances(key: string): ListedInstance[];
@@ -74,45 +83,52 @@
   listListedPeers(): ListedInstance[];
   /** A listed entry instance, live or not. */
   find(name: string): ListedInstance | undefined;
-  /** The run of a peer, as far as heartbeats or news have told it. */
+  /**
+   * The incarnation of a peer, if heartbeats or member updates have reported
+   * it.
+   */
   findIncarnation(name: string): string | undefined;
   /** Whether a listed instance was found silent. */
   isSuspected(name: string): boolean;
-  /** The newest report of each peer that answered a heartbeat. */
+  /** The newest report of each peer that responded to a heartbeat. */
   listWitnessReports(): WitnessReport[];
-  /** Told whenever the set of live instances changes; returns the end of it. */
+  /**
+   * Calls the listener whenever the set of live instances changes. Returns a
+   * function that unsubscribes.
+   */
   subscribe(listener: () => void): () => void;
-  /** Reads the platform's list; throws StoreError when it gives no answer. */
+  /** Reads the platform's list. Throws StoreError if it does not respond. */
   poll(): Promise<void>;
-  /** Sends one round of heartbeats and takes in the answers. */
+  /** Sends one round of heartbeats and applies the responses. */
   sendHeartbeats(): Promise<void>;
-  /** Takes in a peer's heartbeat and answers it. */
+  /** Applies a peer's heartbeat and returns the response. */
   handleHeartbeat(heartbeat: Heartbeat): Heartbeat;
-  /** Tells peers that this instance takes no more work. */
+  /** Notifies peers that this instance accepts no more work. */
   leave(): Promise<void>;
 }
 
-/** Starts knowing nobody. */
+/** Creates members that know only this instance until the first poll. */
 export function createMembers(
   self: SelfDescription,
   list: InstanceList,
   options: MembersOptions = {},
 ): Members {
   const clock = options.clock ?? createSystemClock();
-  const {sendHeartbeat, readStoreRun = () => undefined} = options;
+  const {sendHeartbeat, readAnswerPeriod: readStoreRun = () => undefined} =
+    options;
   const readStatus =
     options.readStatus ?? (() => ({generation: 0, storeReachable: true}));
-  const board = createNewsBoard();
+  const updates = createMemberUpdates();
   const failures = new Map<string, number>();
   const reports = new Map<string, WitnessReport>();
   const listeners = new Set<() => void>();
   let listed: ListedInstance[] = [];
   let listedNames: ReadonlySet<string> = new Set();
-  /** Other entry instances of the list, in the order of the ring. */
+  /** Other entry instances of the list, in ring order. */
   let others: ListedInstance[] = [];
   let live: ListedInstance[] = [];
   let liveNames = '';
-  let beats = 0;
+  let rounds = 0;
   let leaving = false;
   let counter = 0;
   updateLive();
@@ -128,7 +144,7 @@
     return role === 'entry' && name !== self.name;
   }
 
-  /** Most polls bring the very same entries; then nothing is worked out anew. */
+  /** Most polls return the same entry objects. Then nothing is recomputed. */
   function noteList(next: ListedInstance[]) {
     const isSame =
       next.length === listed.length &&
@@ -144,15 +160,15 @@
   }
 
   function isSuspected(name: string): boolean {
-    return board.find(name)?.state === 'suspected';
+    return updates.find(name)?.state === 'suspected';
   }
 
   function isLive({name, state}: ListedInstance): boolean {
-    const told = board.find(name)?.state ?? 'live';
-    return state === 'live' && told === 'live';
+    const reportedState = updates.find(name)?.state ?? 'live';
+    return state === 'live' && reportedState === 'live';
   }
 
-  /** Listeners hear only of changes, not of each poll. */
+  /** Listeners are called only on changes, not on each poll. */
   function updateLive() {
     live = [describeSelf(), ...others].filter(isLive);
     live.sort((a, b) => (a.name < b.name ? -1 : 1));
@@ -163,54 +179,59 @@
   }
 
   /**
-   * `to` always hears what is held against it, however old: an instance that
-   * was cut off for longer than news lives could not refute it otherwise.
+   * Builds the heartbeat to one peer. It always contains the stored update
+   * about that peer, however old: otherwise an instance that was cut off for
+   * longer than updates are propagated could not refute a suspicion.
    */
   function buildHeartbeat(to: string): Heartbeat {
     const {name, incarnation} = self;
-    const held = board.find(to);
-    const old = board.select(clock.now()).filter(news => news.name !== to);
-    const news = held ? [held, ...old].slice(0, MAX_NEWS_PER_HEARTBEAT) : old;
+    const held = updates.find(to);
+    const otherUpdates = updates
+      .select(clock.now())
+      .filter(update => update.name !== to);
+    const news = held
+      ? [held, ...otherUpdates].slice(0, MAX_UPDATES_PER_HEARTBEAT)
+      : otherUpdates;
     return {name, incarnation, ...readStatus(), news};
   }
 
-  /** An instance that is wrongly suspected says so at once. */
-  function noteNewsOfSelf(news: MemberNews, now: number) {
-    if (news.incarnation !== self.incarnation) return;
-    if (news.state === 'live' || leaving || news.counter < counter) return;
-    counter = news.counter + 1;
+  /** A wrongly suspected instance refutes the suspicion at once. */
+  function noteUpdateOfSelf(update: MemberUpdate, now: number) {
+    if (update.incarnation !== self.incarnation) return;
+    if (update.state === 'live' || leaving || update.counter < counter) return;
+    counter = update.counter + 1;
     const {name, incarnation} = self;
-    board.replace({name, incarnation, state: 'live', counter}, now);
+    updates.replace({name, incarnation, state: 'live', counter}, now);
   }
 
-  /** Whether it changed what is held. */
-  function noteTold(news: MemberNews, now: number): boolean {
-    if (news.name !== self.name) return board.note(news, now);
-    noteNewsOfSelf(news, now);
+  /** Returns whether the update changed the stored state of another member. */
+  function noteUpdate(update: MemberUpdate, now: number): boolean {
+    if (update.name !== self.name) return updates.note(update, now);
+    noteUpdateOfSelf(update, now);
     return false;
   }
 
   function noteHeartbeat(heartbeat: Heartbeat, now: number) {
     const {name, incarnation} = heartbeat;
-    const isNewRun = board.find(name)?.incarnation !== incarnation;
+    const isNewRun = updates.find(name)?.incarnation !== incarnation;
     if (isNewRun) {
-      board.replace({name, incarnation, state: 'live', counter: 0}, now);
+      updates.replace({name, incarnation, state: 'live', counter: 0}, now);
     }
     failures.delete(name);
-    const changes = heartbeat.news.filter(news => noteTold(news, now));
+    const changes = heartbeat.news.filter(update => noteUpdate(update, now));
     if (isNewRun || changes.length > 0) updateLive();
   }
 
   function noteFailure(peer: ListedInstance, needed: number) {
     const count = (failures.get(peer.name) ?? 0) + 1;
     failures.set(peer.name, count);
-    const held = board.find(peer.name);
+    const held = updates.find(peer.name);
     if (count < needed || (held && held.state !== 'live')) return;
     const {name} = peer;
     const incarnation = held?.incarnation ?? '';
-    const told = held?.counter ?? 0;
-    board.replace(
-      {name, incarnation, state: 'suspected', counter: told},
+    const heldCounter = held?.counter ?? 0;
+    updates.replace(
+      {name, incarnation, state: 'suspected', counter: heldCounter},
       clock.now(),
     );
     updateLive();
@@ -228,7 +249,7 @@
         failureDomain,
         generation,
         storeReachable,
-        storeRun: decodeStoreRun(answer, askedAt, answeredAt),
+        storeRun: decodeAnswerPeriod(answer, askedAt, answeredAt),
         askedAt,
       });
       noteHeartbeat(answer, answeredAt);
@@ -238,17 +259,20 @@
     }
   }
 
-  /** In beats. Fresh news goes to other failure domains without waiting. */
+  /**
+   * Heartbeat rounds between two heartbeats to the witnesses. New updates go to
+   * the other failure domains in every round.
+   */
   function computeWitnessPeriod(): number {
-    if (board.hasFresh(clock.now())) return 1;
-    if (readStatus().storeReachable) return WITNESS_EVERY_BEATS;
-    return WITNESS_EVERY_BEATS_IN_DOUBT;
+    if (updates.hasFresh(clock.now())) return 1;
+    if (readStatus().storeReachable) return WITNESS_INTERVAL_ROUNDS;
+    return WITNESS_INTERVAL_ROUNDS_WITHOUT_STORE;
   }
 
   function selectTargets(): ListedInstance[] {
     const ring = others.filter(({state}) => state === 'live');
     const neighbours = selectRingNeighbours(ring, isSuspected);
-    if (beats++ % computeWitnessPeriod() !== 0) return neighbours;
+    if (rounds++ % computeWitnessPeriod() !== 0) return neighbours;
     const witnesses = selectWitnesses(self, ring.filter(isLive));
     return [...new Set([...neighbours, ...witnesses])];
   }
@@ -270,7 +294,7 @@
       name === self.name
         ? describeSelf()
         : others.find(member => member.name === name),
-    findIncarnation: name => board.find(name)?.incarnation || undefined,
+    findIncarnation: name => updates.find(name)?.incarnation || undefined,
     listWitnessReports: () => [...reports.values()],
     subscribe(listener) {
       listeners.add(listener);
@@ -278,31 +302,32 @@
     },
     async poll() {
       noteList(await list.fetch());
-      board.expire(listedNames, clock.now());
+      updates.expire(listedNames, clock.now());
     },
     async sendHeartbeats() {
       if (!sendHeartbeat) return;
       const targets = selectTargets();
       const answers = await Promise.all(targets.map(probePeer));
       const failed = targets.filter((_, index) => !answers[index]);
-      // When most peers fall silent at once, the fault is more likely here;
-      // suspecting them all would leave this instance alone in its own view.
-      const inDoubt = targets.length > 2 && failed.length * 2 > targets.length;
-      const needed = inDoubt
-        ? FAILURES_TO_SUSPECT_IN_DOUBT
+      // When most peers fall silent at once, the fault is more likely at this
+      // instance. Suspecting them all would leave it alone in its own view.
+      const mostFailed =
+        targets.length > 2 && failed.length * 2 > targets.length;
+      const needed = mostFailed
+        ? FAILURES_TO_SUSPECT_WHEN_MOST_FAIL
         : FAILURES_TO_SUSPECT;
       for (const peer of failed) noteFailure(peer, needed);
     },
     handleHeartbeat(heartbeat) {
       const now = clock.now();
       noteHeartbeat(heartbeat, now);
-      const storeRun = encodeStoreRun(readStoreRun(), now);
+      const storeRun = encodeAnswerPeriod(readStoreRun(), now);
       return {...buildHeartbeat(heartbeat.name), storeRun};
     },
     async leave() {
       leaving = true;
       const {name, incarnation} = self;
-      board.replace(
+      updates.replace(
         {name, incarnation, state: 'leaving', counter},
         clock.now(),
       );
@@ -314,24 +339,25 @@
       self,
       leaving,
       live: live.map(({name}) => name),
-      news: board.list(),
+      news: updates.list(),
       reports: [...reports.values()],
     }),
   };
 }
 
-function encodeStoreRun(
-  run: AnswerRun | undefined,
+function encodeAnswerPeriod(
+  period: AnswerRun | undefined,
   now: number,
 ): Heartbeat['storeRun'] {
-  return run && {fromMs: now - run.from, toMs: now - run.to};
+  return period && {fromMs: now - period.from, toMs: now - period.to};
 }
 
 /**
- * The way took some of the time between: the run is taken for the shortest that
- * it can have been.
+ * Converts the ages to this instance's clock. The time that the heartbeat and
+ * its response were on their way is unknown, so the shortest possible period is
+ * taken.
  */
-function decodeStoreRun(
+function decodeAnswerPeriod(
   {storeRun}: Heartbeat,
   askedAt: number,
   answeredAt: number,
--- a/src/instance/members/run_identity.test.ts
+++ b/src/instance/members/run_identity.test.ts
@@ -1,13 +1,12 @@
-/** The identity of a run, beside wall clocks that step. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createRunIdentity} from './run_identity.js';
 
-describe('the identity of a run', () => {
+describe('run identity', () => {
   // A machine is restarted after its wall clock stepped back by half a minute.
-  // Others hold the run before for silent; the new run must outrank that, or
-  // they leave it out of their view although it serves.
-  it('sorts after those before it whatever the wall clock shows', () => {
+  // Other instances consider the earlier run silent. If the new run did not
+  // outrank it, they would leave it out of their views although it serves.
+  it('sorts after earlier runs even if the wall clock stepped back', () => {
     const before = createRunIdentity(
       {wallNow: () => 90_000},
       {read: () => 1000},
@@ -20,7 +19,7 @@
     assert.ok(after.startedAt > before.startedAt);
   });
 
-  it('goes by the wall clock where no other time is known', () => {
+  it('uses the wall clock if the shared time is unknown', () => {
     const {startedAt} = createRunIdentity(
       {wallNow: () => 60_000},
       {read: () => undefined},
--- a/src/instance/members/run_identity.ts
+++ b/src/instance/members/run_identity.ts
@@ -1,10 +1,11 @@
 /**
- * What tells one run of a process from those before it on the same machine.
+ * Identifies one run of a process among all runs on the same machine.
  *
- * Later runs must sort after earlier ones: what is told of the earlier one, that
- * it is silent or leaves, must not hold against the later. By a wall clock that
- * stepped back between the two it would, on every instance that does not hear the
- * new run itself; so the time is the one that all agree on, where it is known.
+ * Later runs must sort after earlier ones: an update which says that the
+ * earlier run is silent or leaving must not apply to the later one. If the wall
+ * clock stepped back between the two runs, it would apply on every instance
+ * that has no direct contact with the new run. So the time is the shared one,
+ * if it is known.
  */
 import type {Clock} from '../../common/clock.js';
 import {generateId} from '../../common/ids.js';
@@ -17,7 +18,7 @@
   startedAt: number;
 }
 
-/** For the run that starts now. */
+/** Creates the identity of the run that starts now. */
 export function createRunIdentity(
   clock: Pick<Clock, 'wallNow'>,
   time: Pick<SharedTime, 'read'>,
