--- a/src/instance/configuration/apply_document.ts
+++ b/src/instance/configuration/apply_document.ts
@@ -1,4 +1,4 @@
-/** Puts service documents into force, and reads them back from the table. */
+/** Applies service documents, and reads them back from the table. */
 import {hashText} from '../../common/ids.js';
 import {InvalidDocumentError} from '../../common/ini_document.js';
 import {
@@ -17,17 +17,22 @@
 
 const VERSION_DIGITS = 9;
 
-/** How an apply ended. An instance at `generation` has the text in force. */
+/**
+ * Result of an apply. Instances whose generation is at least `generation` have
+ * applied the text.
+ */
 export type ApplyOutcome =
   | {kind: 'applied'; version: number; generation: number}
   | {kind: 'unchanged'; version: number; generation: number}
   | {kind: 'conflict'; version: number; author: string};
 
-/** What an apply may be given beside the text. */
 export interface ApplyOptions {
-  /** Version that the author edited; another one in the table is a conflict. */
+  /**
+   * Version that the author edited. If the table has another one, the apply is
+   * a conflict.
+   */
   base?: number;
-  /** Wall time, kept in the history. */
+  /** Wall time of the apply, stored in the history. */
   wallNow?: number;
 }
 
@@ -42,9 +47,10 @@
 }
 
 /**
- * Puts a document into force by compare-and-set; the same text again changes
- * nothing. Throws InvalidDocumentError before anything is written, and
- * StoreError; run it again after one, it finds its own earlier effect.
+ * Applies a document by compare-and-set. Applying the same text again changes
+ * nothing. Throws InvalidDocumentError before anything is written. After a
+ * StoreError the apply may be repeated: it recognizes the effect of the earlier
+ * call.
  */
 export async function applyServiceDocument(
   table: TableStore,
@@ -72,7 +78,7 @@
   const outcome = await commitChange(
     table,
     {kind: 'document', service, version: version + 1, text, author},
-    buildSteps(service, version, fields),
+    buildOperations(service, version, fields),
   );
   if (outcome.kind === 'conflict')
     return describeConflict(await table.get(key));
@@ -92,7 +98,7 @@
   ]);
 }
 
-function buildSteps(
+function buildOperations(
   service: string,
   version: number,
   fields: Row['fields'],
@@ -119,20 +125,24 @@
 }
 
 function describeConflict(row: Row | undefined): ApplyOutcome {
-  if (!row) throw new StoreError('the document is gone', 'none');
+  if (!row)
+    throw new StoreError(
+      'document not found in the table after a write conflict',
+      'none',
+    );
   const author = String(row.fields.author);
   return {kind: 'conflict', version: row.version, author};
 }
 
-/** The documents in force, by service. */
+/** The active documents of all services. */
 export async function listStoredDocuments(
   table: TableStore,
 ): Promise<StoredDocument[]> {
   const rows = await table.query(CONFIGURATION_PARTITION);
-  return rows.map(row => toStored(row, row.key.sort, row.version));
+  return rows.map(row => toStoredDocument(row, row.key.sort, row.version));
 }
 
-/** One document, in force or an earlier version of it. */
+/** The active version of a document, or an earlier one. */
 export async function findStoredDocument(
   table: TableStore,
   service: string,
@@ -143,21 +153,25 @@
       ? {partition: CONFIGURATION_PARTITION, sort: service}
       : buildHistoryKey(service, version);
   const row = await table.get(key);
-  return row && toStored(row, service, version ?? row.version);
+  return row && toStoredDocument(row, service, version ?? row.version);
 }
 
-/** Every version of a document, the first one first. */
+/** All versions of a document, oldest first. */
 export async function listDocumentHistory(
   table: TableStore,
   service: string,
 ): Promise<StoredDocument[]> {
   const rows = await table.query(HISTORY_PARTITION, {prefix: `${service}/`});
   return rows.map(row =>
-    toStored(row, service, Number(row.key.sort.split('/')[1])),
+    toStoredDocument(row, service, Number(row.key.sort.split('/')[1])),
   );
 }
 
-function toStored(row: Row, service: string, version: number): StoredDocument {
+function toStoredDocument(
+  row: Row,
+  service: string,
+  version: number,
+): StoredDocument {
   const {author, text, appliedAt} = row.fields;
   return {
     service,
--- a/src/instance/configuration/await_generation.ts
+++ b/src/instance/configuration/await_generation.ts
@@ -1,45 +1,49 @@
 /**
- * Waits until every live instance has a change in force, by asking each for
- * its view. An operator's command does this, never an instance: 360 instances
- * are asked by the one who waits, a bounded number at a time, and those that
- * have confirmed are not asked again.
+ * Waits until every live instance has applied a change, by fetching the view of
+ * each one. Only an operator's command does this, never an instance. It sends a
+ * bounded number of requests at a time (a fleet may have 360 instances), and
+ * does not ask again those that have confirmed.
  */
 import {waitFor, type Clock} from '../../common/clock.js';
 import type {ListedInstance} from '../../stores/instance_list.js';
 import type {ConfigurationView} from './configuration.js';
 
-/** Instances asked at once. */
-const ASKED_AT_ONCE = 32;
+/** Maximum number of instances asked at the same time. */
+const MAX_CONCURRENT_REQUESTS = 32;
 
-/** Pause between two rounds of asking, in ms. */
+/** Pause between two rounds of requests, in ms. */
 const ROUND_PAUSE_MS = 250;
 
-/** What one instance has in force. */
+/** Whether one instance has applied the change. */
 export interface InstanceReport {
   name: string;
   failureDomain: string;
   state: 'confirmed' | 'behind' | 'no-answer' | 'rejected';
-  /** Generation in force there, when it answered. */
+  /** Generation that the instance has applied, if it answered. */
   generation?: number;
-  /** Why it cannot read the document. */
+  /** Why the instance cannot read the document. */
   message?: string;
 }
 
-/** What the wait works with. */
 export interface AwaitGenerationOptions {
   clock: Clock;
   generation: number;
-  /** Service whose document must be readable there; none for a key. */
+  /**
+   * Service whose document the instance must be able to read; absent for a key.
+   */
   service?: string;
   timeoutMs: number;
   listInstances(): Promise<ListedInstance[]>;
-  /** Rejects when the instance gives no answer in time. */
+  /** Rejects if the instance does not respond in time. */
   fetchView(instance: ListedInstance): Promise<ConfigurationView>;
-  /** Told after each round. */
+  /** Called after each round. */
   onProgress?(confirmed: number, all: number): void;
 }
 
-/** The report of each live entry instance, the unconfirmed ones included. */
+/**
+ * Returns the report of each live entry instance, with those that have not
+ * confirmed before the timeout.
+ */
 export async function awaitGeneration(
   options: AwaitGenerationOptions,
 ): Promise<InstanceReport[]> {
@@ -47,7 +51,7 @@
   const deadline = clock.now() + timeoutMs;
   const reports = new Map<string, InstanceReport>();
 
-  async function fetchOne(instance: ListedInstance) {
+  async function refreshReport(instance: ListedInstance) {
     reports.set(instance.name, await fetchReport(instance, options));
   }
 
@@ -55,16 +59,16 @@
     const entries = (await listInstances()).filter(
       ({role, state}) => role === 'entry' && state === 'live',
     );
-    const left = entries.filter(({name}) => !isSettled(reports.get(name)));
-    await runBounded(left, fetchOne);
-    const shown = entries.map(({name}) => reports.get(name)!);
-    onProgress?.(shown.filter(isSettled).length, entries.length);
-    if (shown.every(isSettled) || clock.now() >= deadline) return shown;
+    const pending = entries.filter(({name}) => !isSettled(reports.get(name)));
+    await runBounded(pending, refreshReport);
+    const current = entries.map(({name}) => reports.get(name)!);
+    onProgress?.(current.filter(isSettled).length, entries.length);
+    if (current.every(isSettled) || clock.now() >= deadline) return current;
     await waitFor(clock, ROUND_PAUSE_MS);
   }
 }
 
-/** Asking again would change nothing. */
+/** Whether asking again would change nothing. */
 function isSettled(report: InstanceReport | undefined): boolean {
   return report?.state === 'confirmed' || report?.state === 'rejected';
 }
@@ -86,13 +90,16 @@
   }
 }
 
-/** Runs the task for each item, a bounded number at once. */
+/**
+ * Runs the task for each item, with at most MAX_CONCURRENT_REQUESTS at the same
+ * time.
+ */
 async function runBounded<Item>(
   items: readonly Item[],
   task: (item: Item) => Promise<void>,
 ) {
   const queue = [...items];
-  const workers = Array.from({length: ASKED_AT_ONCE}, async () => {
+  const workers = Array.from({length: MAX_CONCURRENT_REQUESTS}, async () => {
     for (let item = queue.shift(); item; item = queue.shift()) await task(item);
   });
   await Promise.all(workers);
--- a/src/instance/configuration/change_log.ts
+++ b/src/instance/configuration/change_log.ts
@@ -1,8 +1,8 @@
 /**
- * The changes in the platform's table. Each change commits in one transaction
- * with the rows it is about, the head row and a row under its generation: so
- * generations have no gaps, two operators cannot take the same one, and a
- * reader needs one read to learn that nothing changed, or what did.
+ * The log of changes in the platform's table. Each change commits in one
+ * transaction with the rows it affects, the head row, and a row under its
+ * generation. So generations have no gaps, two operators cannot take the same
+ * one, and a reader needs one read to learn whether anything changed, and what.
  */
 import {generateId} from '../../common/ids.js';
 import {
@@ -16,22 +16,22 @@
   type Change,
   type DocumentChange,
   type KeyChange,
-  type Update,
+  type ConfigurationUpdate,
 } from './changes.js';
 import {
-  CHANGE_PAGE,
+  CHANGES_PER_PAGE,
   CHANGES_PARTITION,
   CONFIGURATION_PARTITION,
   HEAD_KEY,
-  KEPT_CHANGES,
+  RETAINED_CHANGES,
   KEYS_PARTITION,
-  MAX_HEAD_RACES,
-  MAX_UNCLEAR_TRIES,
+  MAX_GENERATION_CONFLICTS,
+  MAX_UNCLEAR_ATTEMPTS,
 } from './constants.js';
 
 const GENERATION_DIGITS = 12;
 
-/** How a change ended; `index` is the operation whose condition failed. */
+/** Result of a change. `index` is the operation whose condition failed. */
 export type ChangeOutcome =
   {kind: 'committed'; generation: number} | {kind: 'conflict'; index: number};
 
@@ -46,9 +46,10 @@
 }
 
 /**
- * Commits `change` together with `operations`. An answer that is lost is
- * settled by the row under the change's generation, which names the change;
- * throws StoreError with effect `unknown` when even that cannot be read.
+ * Commits `change` together with `operations`. If the response is lost, the row
+ * under the change's generation shows whether it was committed, because it
+ * names the change. Throws StoreError with effect `unknown` if that row cannot
+ * be read either.
  */
 export async function commitChange(
   table: TableStore,
@@ -57,7 +58,7 @@
 ): Promise<ChangeOutcome> {
   const changeId = generateId('change');
   let unclearAt: number | undefined;
-  let unclearTries = 0;
+  let unclearAttempts = 0;
 
   async function hasCommitted(generation: number | undefined) {
     if (generation === undefined) return false;
@@ -65,15 +66,15 @@
     return row?.fields.changeId === changeId;
   }
 
-  async function runOnce(): Promise<ChangeOutcome | 'again'> {
+  async function runAttempt(): Promise<ChangeOutcome | 'again'> {
     const head = await readHead(table);
     if (await hasCommitted(unclearAt)) {
       return {kind: 'committed', generation: unclearAt!};
     }
     const generation = head + 1;
-    const steps = buildSteps(operations, change, changeId, head);
+    const transaction = buildOperations(operations, change, changeId, head);
     try {
-      const outcome = await table.transact(steps);
+      const outcome = await table.transact(transaction);
       if (outcome.kind === 'committed') return {kind: 'committed', generation};
       if (await hasCommitted(unclearAt)) {
         return {kind: 'committed', generation: unclearAt!};
@@ -87,9 +88,9 @@
     }
   }
 
-  for (let races = 0; races < MAX_HEAD_RACES; races++) {
+  for (let conflicts = 0; conflicts < MAX_GENERATION_CONFLICTS; conflicts++) {
     try {
-      const outcome = await runOnce();
+      const outcome = await runAttempt();
       if (outcome === 'again') continue;
       if (outcome.kind === 'committed') {
         await deleteOldChange(table, outcome.generation);
@@ -98,14 +99,17 @@
     } catch (error) {
       if (!(error instanceof StoreError) || unclearAt === undefined)
         throw error;
-      if (++unclearTries < MAX_UNCLEAR_TRIES) continue;
+      if (++unclearAttempts < MAX_UNCLEAR_ATTEMPTS) continue;
       throw new StoreError(error.message, 'unknown', error);
     }
   }
-  throw new StoreError('too many changes at once', 'none');
+  throw new StoreError(
+    'too many concurrent changes took the next generation',
+    'none',
+  );
 }
 
-function buildSteps(
+function buildOperations(
   operations: readonly WriteOperation[],
   change: Change,
   changeId: string,
@@ -129,39 +133,47 @@
   ];
 }
 
-/** A row that stays for want of an answer costs some bytes and no more. */
+/** If this fails the row stays, which only costs a few bytes. */
 async function deleteOldChange(table: TableStore, generation: number) {
-  if (generation <= KEPT_CHANGES) return;
-  const key = buildChangeKey(generation - KEPT_CHANGES);
+  if (generation <= RETAINED_CHANGES) return;
+  const key = buildChangeKey(generation - RETAINED_CHANGES);
   const condition = {kind: 'fields', equals: {}} as const;
   await table.transact([{kind: 'delete', key, condition}]).catch(() => {});
 }
 
 /**
- * What brings an instance from generation `held` to the newest: the changes
- * since, or everything when some of those are kept no more.
+ * Fetches what brings an instance from generation `held` to the newest one: the
+ * changes since then, or the complete state if some of them are no longer
+ * retained.
  */
 export async function fetchUpdate(
   table: TableStore,
   held: number,
-): Promise<Update> {
-  if (held === 0) return fetchAll(table);
+): Promise<ConfigurationUpdate> {
+  if (held === 0) return fetchCompleteState(table);
   const changes: Change[] = [];
   for (let generation = held; ;) {
     const rows = await table.query(CHANGES_PARTITION, {
       after: buildChangeKey(generation).sort,
-      limit: CHANGE_PAGE,
+      limit: CHANGES_PER_PAGE,
     });
     for (const row of rows) {
-      if (Number(row.key.sort) !== ++generation) return fetchAll(table);
+      if (Number(row.key.sort) !== ++generation)
+        return fetchCompleteState(table);
       changes.push(decodeChange(row));
     }
-    if (rows.length < CHANGE_PAGE) return {generation, from: held, changes};
+    if (rows.length < CHANGES_PER_PAGE)
+      return {generation, from: held, changes};
   }
 }
 
-/** The head is read first: what is committed meanwhile is read twice. */
-async function fetchAll(table: TableStore): Promise<Update> {
+/**
+ * Reads the complete state. The head is read first, so a change committed
+ * during the reads is read again by the next update.
+ */
+async function fetchCompleteState(
+  table: TableStore,
+): Promise<ConfigurationUpdate> {
   const generation = await readHead(table);
   const documents = await table.query(CONFIGURATION_PARTITION);
   const keys = await table.query(KEYS_PARTITION);
@@ -176,7 +188,7 @@
   return changeSchema.parse(JSON.parse(String(row.fields.change)));
 }
 
-/** The change that a document's row amounts to. */
+/** The document change that corresponds to a document's row. */
 export function toDocumentChange({key, version, fields}: Row): DocumentChange {
   return {
     kind: 'document',
@@ -187,7 +199,7 @@
   };
 }
 
-/** The change that a key's row amounts to. */
+/** The key change that corresponds to a key's row. */
 export function toKeyChange({key, fields}: Row): KeyChange {
   return {
     kind: 'key',
--- a/src/instance/configuration/changes.ts
+++ b/src/instance/configuration/changes.ts
@@ -1,8 +1,8 @@
 /**
- * The changes of configuration and keys. Taking one in is idempotent and the
- * order does not matter: a document's higher version wins and a withdrawn key
- * stays withdrawn. So changes may come from the store or from any peer, late
- * or twice, and nothing ever goes back.
+ * The changes of configuration and keys. Applying them is idempotent and their
+ * order does not matter: the higher version of a document wins, and a withdrawn
+ * key stays withdrawn. So changes may come from the store or from any peer,
+ * late or twice, and no document or key reverts to an earlier state.
  */
 import * as z from 'zod';
 
@@ -22,33 +22,35 @@
   state: z.enum(['valid', 'withdrawn']),
 });
 
-/** A document's new version, or a key given or withdrawn. */
+/** A new version of a document, or a key that was given or withdrawn. */
 export const changeSchema = z.discriminatedUnion('kind', [
   documentChangeSchema,
   keyChangeSchema,
 ]);
 
-/** One change. */
 export type Change = z.infer<typeof changeSchema>;
 
 /** A document as stored. */
 export type DocumentChange = z.infer<typeof documentChangeSchema>;
 
-/** A key as stored: its hash, never the key. */
+/** A key as stored: its hash, never the key itself. */
 export type KeyChange = z.infer<typeof keyChangeSchema>;
 
-/** Part of what brings another instance up to a generation. */
+/** One part of the changes that bring another instance to a generation. */
 export const updateSchema = z.strictObject({
   generation: z.number().int().nonnegative(),
-  /** Generation that the changes follow one by one; null: they are all. */
+  /**
+   * Generation that the changes follow, one generation per change. Null if they
+   * are the complete state.
+   */
   from: z.number().int().nonnegative().nullable(),
   changes: z.array(changeSchema),
-  /** Where the next part begins; absent in the last one. */
+  /** Position at which the next part begins; absent in the last part. */
   next: z.number().int().optional(),
 });
 
-/** All of it. */
-export type Update = Pick<
+/** All parts of an update together. */
+export type ConfigurationUpdate = Pick<
   z.infer<typeof updateSchema>,
   'generation' | 'from' | 'changes'
 >;
--- a/src/instance/configuration/configuration.test.ts
+++ b/src/instance/configuration/configuration.test.ts
@@ -14,8 +14,11 @@
 import {fetchUpdate} from './change_log.js';
 import type {Change} from './changes.js';
 import {createConfiguration} from './configuration.js';
-import {CHANGE_PAGE, MAX_DOCUMENT_BYTES} from './constants.js';
-import {createFleetState, type FleetState} from './fleet_state.js';
+import {CHANGES_PER_PAGE, MAX_DOCUMENT_BYTES} from './constants.js';
+import {
+  createConfigurationState,
+  type ConfigurationState,
+} from './configuration_state.js';
 
 const DOMAINS = ['klang-a', 'klang-b', 'penang-a', 'johor-a'];
 
@@ -30,7 +33,7 @@
 
 describe('configuration', () => {
   describe('apply', () => {
-    it('counts versions, and changes nothing for the same text', async () => {
+    it('increments the version, and changes nothing when the text is the same', async () => {
       const {table} = createMemoryPlatform();
       const first = await applyServiceDocument(table, makeDocument(1), 'ana');
       assert.deepEqual(first, {kind: 'applied', version: 1, generation: 1});
@@ -50,7 +53,7 @@
       assert.equal(old?.text, makeDocument(1));
     });
 
-    it('refuses an invalid document whole', async () => {
+    it('rejects an invalid document without writing anything', async () => {
       const {table, counts} = createMemoryPlatform();
       await applyServiceDocument(table, makeDocument(1), 'ana');
       const {writes} = counts;
@@ -68,7 +71,7 @@
       assert.equal(configuration.find('drum-reader')?.version, 1);
     });
 
-    it('tells an operator who edited an older version', async () => {
+    it('reports a conflict to an operator who edited an older version', async () => {
       const {table} = createMemoryPlatform();
       await applyServiceDocument(table, makeDocument(1), 'ana');
       await applyServiceDocument(table, makeDocument(2), 'ana');
@@ -85,10 +88,11 @@
       ['ana', 'ben'],
       ['ben', 'ana'],
     ]) {
-      it(`lets one of racing operators win, ${order[0]} first`, async () => {
-        // Both operators would believe their document to be in force: they
-        // read the same version and write at once. One transaction commits;
-        // the other's condition fails, and it is told who won.
+      it(`lets one of two concurrent operators win, ${order[0]} first`, async () => {
+        // Guards against two operators who both believe that their document is
+        // active: they read the same version and write at the same time. One
+        // transaction commits. The condition of the other fails, and its
+        // operator learns who won.
         const {table} = createMemoryPlatform();
         for (let round = 0; round < 2; round++) {
           const outcomes = await Promise.all(
@@ -109,9 +113,10 @@
         }
       });
 
-      it(`finds an apply whose answer was lost, ${order[0]} first`, async () => {
-        // The operator would be told of a conflict with itself: the change
-        // commits, its answer is lost. The row under its generation names it.
+      it(`recognizes an apply whose response was lost, ${order[0]} first`, async () => {
+        // Guards against reporting to an operator a conflict with its own
+        // change: the change commits and its response is lost. The row under
+        // its generation names the change.
         const {table, faults} = createMemoryPlatform();
         for (let round = 0; round < 2; round++) {
           faults.answersToLoseOf = {configuration: 1};
@@ -131,7 +136,7 @@
       });
     }
 
-    it('lets applies of different services through side by side', async () => {
+    it('accepts concurrent applies of different services', async () => {
       const {table} = createMemoryPlatform();
       const names = ['a', 'b', 'c', 'd', 'e', 'f'];
       const outcomes = await Promise.all(
@@ -149,7 +154,7 @@
       assert.deepEqual(generations.sort(), [1, 2, 3, 4, 5, 6]);
     });
 
-    it('says that the outcome is unclear when no answer ever comes', async () => {
+    it('reports an unknown outcome when no response arrives', async () => {
       const {table, faults} = createMemoryPlatform();
       faults.answersToLose = 1000;
       let lost = 0;
@@ -175,7 +180,7 @@
   });
 
   describe('on the instances', () => {
-    it('is in force everywhere within two seconds, through a busy store', async () => {
+    it('is active on all instances within two seconds with a slow store', async () => {
       const {clock, platform, instances} = createConfigurationFleet([
         ...DOMAINS,
         ...DOMAINS,
@@ -198,8 +203,8 @@
     });
 
     it('reaches an instance that is cut off from the store', async () => {
-      // Callers of one instance would see an old rate for as long as the cut
-      // lasts: it cannot read the table. Its witnesses can, and pass it on.
+      // Guards against an outdated rate on one instance for as long as it
+      // cannot read the table. Its witnesses can, and relay the change.
       const fleet = createConfigurationFleet(DOMAINS);
       const cut = fleet.instances[0];
       await fleet.clock.advanceAsync(2000);
@@ -210,9 +215,9 @@
     });
 
     it('reaches an instance that starts during an outage', async () => {
-      // Callers of the new instance would be told that there is no model. The
-      // table is out; the peers hold more than fits one answer, and pass on
-      // all of it.
+      // Guards against a new instance that answers callers that there is no
+      // model. The table is unavailable. The peers hold more than fits into one
+      // response, and relay all of it.
       const fleet = createConfigurationFleet(DOMAINS);
       const services = Array.from({length: 12}, (_, at) => `service-${at}`);
       for (const service of services) {
@@ -232,9 +237,10 @@
       assert.equal(late.configuration.find('drum-reader')?.version, 1);
     });
 
-    it('keeps the one in force when it cannot read a newer one', async () => {
-      // During an upgrade the older program meets a key it does not know.
-      const state = createFleetState();
+    it('keeps the active version when it cannot read a newer one', async () => {
+      // During an upgrade, an instance of the older version reads a document
+      // with a key it does not know.
+      const state = createConfigurationState();
       state.importUpdate({from: null, generation: 1, changes: [makeChange(1)]});
       const newer = {...makeChange(2), text: '[service]\nnew_key = 1\n'};
       state.importUpdate({
@@ -247,7 +253,7 @@
       assert.equal(state.exportUpdate(1, 0).changes[0], newer);
     });
 
-    it('costs one read a second while nothing changes', async () => {
+    it('costs one read per second while nothing changes', async () => {
       const fleet = createConfigurationFleet(DOMAINS);
       await applyServiceDocument(fleet.platform.table, makeDocument(1), 'ana');
       await fleet.clock.advanceAsync(5000);
@@ -259,10 +265,10 @@
     });
   });
 
-  describe('the log of changes', () => {
-    it('is read over many answers, and anew where it has gaps', async () => {
+  describe('change log', () => {
+    it('is read in several pages, and completely again if it has gaps', async () => {
       const {table} = createMemoryPlatform();
-      const count = CHANGE_PAGE + 3;
+      const count = CHANGES_PER_PAGE + 3;
       for (let version = 1; version <= count; version++) {
         await applyServiceDocument(table, makeDocument(version), 'ana');
       }
@@ -272,15 +278,19 @@
       const key = {partition: 'changes', sort: '000000000002'};
       const condition = {kind: 'version', version: 1} as const;
       await table.transact([{kind: 'delete', key, condition}]);
-      const whole = await fetchUpdate(table, 1);
-      assert.deepEqual([whole.generation, whole.changes.length], [count, 1]);
+      const complete = await fetchUpdate(table, 1);
+      assert.deepEqual(
+        [complete.generation, complete.changes.length],
+        [count, 1],
+      );
     });
 
-    it('passes on no less than was asked for', async () => {
-      // An instance far behind would hold its peer's generation without one
-      // of the changes, and keep an old document for good: instances that read
-      // everything at one time and single changes at another pass on to each
-      // other; whoever holds the newest generation must hold every document.
+    it('relays every change that the peer lacks', async () => {
+      // Guards against an instance that reaches its peer's generation without
+      // one of the changes, and then keeps an old document forever. Instances
+      // that sometimes read the complete state and sometimes single changes
+      // relay updates to each other: an instance at the newest generation must
+      // have every document.
       const move = fc.record({
         kind: fc.constantFrom('apply', 'read', 'pass'),
         at: fc.integer({min: 0, max: 2}),
@@ -291,19 +301,19 @@
           fc.array(move, {minLength: 10, maxLength: 40, size: 'max'}),
           async moves => {
             const {table} = createMemoryPlatform();
-            const states = [0, 1, 2].map(createFleetState);
+            const states = [0, 1, 2].map(createConfigurationState);
             const applied: string[] = [];
             let version = 0;
 
-            /** Version n of the text was written by the change of that number. */
-            function checkComplete(state: FleetState) {
+            /** The change with number n wrote the text with version n. */
+            function checkComplete(state: ConfigurationState) {
               applied.slice(0, state.getGeneration()).forEach((service, at) => {
                 const held = state.findDocument(service)?.document;
                 assert.ok((held?.account.gate.rate ?? 0) >= at + 1);
               });
             }
 
-            const runs = {
+            const actions = {
               async apply(service: number) {
                 applied.push(`service-${service}`);
                 const text = makeDocument(++version).replace(
@@ -324,7 +334,7 @@
               },
             };
             for (const {kind, at, to} of moves) {
-              await runs[kind as keyof typeof runs](at, to);
+              await actions[kind as keyof typeof actions](at, to);
               states.forEach(checkComplete);
             }
           },
@@ -333,9 +343,9 @@
       );
     });
 
-    it('never goes back, whatever comes late, twice or mixed up', () => {
-      // Changes and exports of peers in any order, any number of times: the
-      // newest version that ever came is in force.
+    it('never reverts when changes arrive late, twice or out of order', () => {
+      // Changes and exports of peers arrive in any order, any number of times.
+      // The newest version received so far is active.
       const step = fc.record({
         version: fc.integer({min: 1, max: 5}),
         service: fc.constantFrom('a', 'b'),
@@ -343,8 +353,8 @@
       });
       fc.assert(
         fc.property(fc.array(step, {maxLength: 12}), steps => {
-          const state = createFleetState();
-          const peer = createFleetState();
+          const state = createConfigurationState();
+          const peer = createConfigurationState();
           const newest = new Map<string, number>();
           let held = 0;
           for (const {version, service, generation} of steps) {
--- a/src/instance/configuration/configuration.ts
+++ b/src/instance/configuration/configuration.ts
@@ -1,66 +1,73 @@
 /**
- * The service documents and keys in force on this instance, read from the
- * platform's table, or from peers while the table gives no answer. A version
- * never goes back: an older one read late is ignored.
+ * The service documents and keys that are active on this instance, read from
+ * the platform's table, or from peers while the table does not answer. Versions
+ * never decrease: an older one that is read late is ignored.
  */
 import {createSystemClock, type Clock} from '../../common/clock.js';
 import type {Metrics} from '../../common/metrics.js';
 import type {StateSource} from '../../common/state_dump.js';
 import type {TableStore} from '../../stores/table_store.js';
 import {fetchUpdate} from './change_log.js';
-import type {KeyChange, Update} from './changes.js';
+import type {KeyChange, ConfigurationUpdate} from './changes.js';
 import {STORE_REACHABLE_MS} from './constants.js';
 import {
-  createFleetState,
-  type FleetState,
+  createConfigurationState,
+  type ConfigurationState,
   type VersionedDocument,
-} from './fleet_state.js';
+} from './configuration_state.js';
 
-export type {VersionedDocument} from './fleet_state.js';
+export type {VersionedDocument} from './configuration_state.js';
 export {applyServiceDocument, type ApplyOutcome} from './apply_document.js';
 
-/** The documents in force here, and the keys. */
+/** The active documents and keys of this instance. */
 export interface Configuration extends StateSource {
   find(service: string): VersionedDocument | undefined;
   list(): VersionedDocument[];
   findKey(keyHash: string): KeyChange | undefined;
-  /** Reads the table once; throws StoreError when it gives no answer. */
+  /** Reads the table once. Throws StoreError if it does not answer. */
   poll(): Promise<void>;
-  /** Number of the last change that is in force here; 0 before the first read. */
+  /** Generation of the last change applied here; 0 before the first read. */
   describeGeneration(): number;
-  /** Monotonic time by which the table's content is known; -Infinity at first. */
+  /**
+   * Monotonic time as of which the table's content is known; -Infinity before
+   * the first read.
+   */
   getStoreConfirmedAt(): number;
-  /** Whether the table answered the last poll. */
+  /** Whether the table answered recently. */
   isStoreReachable(now: number): boolean;
-  /** Takes in what a peer passed on. */
-  importDocuments(update: Update): void;
-  /** What brings a peer from its generation to this one, in parts. */
-  exportDocuments: FleetState['exportUpdate'];
-  /** What an operator who waits for a change asks. */
+  /** Applies an update, for example one that a peer relayed. */
+  importDocuments(update: ConfigurationUpdate): void;
+  /**
+   * Returns, in parts, the changes that a peer needs to reach this generation.
+   */
+  exportDocuments: ConfigurationState['exportUpdate'];
+  /**
+   * The view that an operator's command fetches while it waits for a change.
+   */
   describeView(): ConfigurationView;
 }
 
-/** The view of one instance. */
+/** The configuration state of one instance, as reported to operators. */
 export interface ConfigurationView {
   generation: number;
-  /** Versions in force, by service. */
+  /** Active version of each service document. */
   documents: Record<string, number>;
   /** Newer documents that the instance could not read. */
   rejections: {service: string; version: number; message: string}[];
 }
 
-/** What configuration works with beside the table; all have defaults. */
+/** Dependencies of the configuration besides the table. All have defaults. */
 export interface ConfigurationOptions {
   clock?: Clock;
   metrics?: Metrics;
 }
 
-/** Starts without any document; `poll` brings them in. */
+/** Creates a configuration without documents. `poll` reads them. */
 export function createConfiguration(
   table: TableStore,
   {clock = createSystemClock(), metrics}: ConfigurationOptions = {},
 ): Configuration {
-  const state = createFleetState();
+  const state = createConfigurationState();
   let storeConfirmedAt = -Infinity;
   const generationGauge = metrics?.createGauge(
     'configuration_generation',
@@ -71,7 +78,7 @@
     'Service documents whose newest version this instance could not read, so that an older one is in force.',
   );
 
-  function importUpdate(update: Update) {
+  function importUpdate(update: ConfigurationUpdate) {
     state.importUpdate(update);
     generationGauge?.set(state.getGeneration());
     rejectionGauge?.set(state.listRejections().length);
--- a/src/instance/configuration/configuration_router.ts
+++ b/src/instance/configuration/configuration_router.ts
@@ -1,4 +1,6 @@
-/** What peers and waiting operators ask of this instance's configuration. */
+/**
+ * Requests of peers and of waiting operators for this instance's configuration.
+ */
 import * as z from 'zod';
 import type {Clock} from '../../common/clock.js';
 import {buildPeerRouterOf, peerProcedure} from '../peers/peer_procedures.js';
@@ -7,28 +9,30 @@
 import type {PeerSync} from './peer_sync.js';
 
 const requestSchema = z.strictObject({
-  /** Generation that the asking instance holds. */
+  /** Generation that the requesting instance has applied. */
   after: z.number().int().nonnegative(),
-  /** Place to go on from in a long answer. */
+  /** Position at which the requested part of a long update begins. */
   skip: z.number().int().nonnegative().default(0),
 });
 
-/** Part of an update, and how long ago its sender knew the table, in ms. */
+/**
+ * Part of an update, and how long ago its sender knew the table's content, in
+ * ms.
+ */
 export const peerUpdateSchema = updateSchema.extend({
   confirmedMsAgo: z.number().nullable(),
 });
 
-/** Answer to a peer. */
+/** Response to a peer. */
 export type PeerUpdate = z.infer<typeof peerUpdateSchema>;
 
-/** What the procedures work with. */
 export interface ConfigurationRouterDependencies {
   configuration: Configuration;
   peerSync: PeerSync;
   clock: Clock;
 }
 
-/** Procedures that other instances call on this one's configuration. */
+/** Procedures of this instance's configuration that other instances call. */
 export function buildConfigurationRouter({
   configuration,
   peerSync,
--- a/src/instance/configuration/fleet_state.ts
+++ b/src/instance/configuration/configuration_state.ts
@@ -1,9 +1,15 @@
 /**
- * Documents and keys as one instance holds them, and what it passes on of them
- * to its peers. See changes.ts for why nothing in here goes back.
+ * The documents and keys that one instance has applied, and the updates that it
+ * relays to peers. changes.ts explains why versions and key states never
+ * revert.
  */
-import type {Change, DocumentChange, KeyChange, Update} from './changes.js';
-import {REMEMBERED_CHANGES, UPDATE_PAGE_BYTES} from './constants.js';
+import type {
+  Change,
+  DocumentChange,
+  KeyChange,
+  ConfigurationUpdate,
+} from './changes.js';
+import {MAX_RECENT_CHANGES, UPDATE_PAGE_BYTES} from './constants.js';
 import {
   parseServiceDocument,
   type ServiceDocument,
@@ -15,32 +21,41 @@
   document: ServiceDocument;
 }
 
-/** A newer document that this instance could not read; the older stays. */
+/**
+ * A newer document that this instance could not read. The older version stays
+ * active.
+ */
 export interface DocumentRejection {
   service: string;
   version: number;
   message: string;
 }
 
-/** The state of one instance. */
-export interface FleetState {
+/** The configuration state of one instance. */
+export interface ConfigurationState {
   getGeneration(): number;
   findDocument(service: string): VersionedDocument | undefined;
   listDocuments(): VersionedDocument[];
   findKey(keyHash: string): KeyChange | undefined;
   countKeys(): number;
   listRejections(): DocumentRejection[];
-  /** Takes in changes; a lower generation than the one held changes nothing. */
-  importUpdate(update: Update): void;
   /**
-   * What brings another from generation `after` to this one, from place
-   * `skip` on; `next` is the place to go on from.
+   * Applies changes. They are idempotent, and a generation lower than the
+   * current one does not replace it.
+   */
+  importUpdate(update: ConfigurationUpdate): void;
+  /**
+   * Returns the changes that bring a peer from generation `after` to this one,
+   * beginning at position `skip`. `next` is the position of the next part.
    */
-  exportUpdate(after: number, skip: number): Update & {next?: number};
+  exportUpdate(
+    after: number,
+    skip: number,
+  ): ConfigurationUpdate & {next?: number};
 }
 
-/** Starts empty, at generation 0. */
-export function createFleetState(): FleetState {
+/** Creates an empty state at generation 0. */
+export function createConfigurationState(): ConfigurationState {
   const documents = new Map<string, VersionedDocument>();
   const texts = new Map<string, DocumentChange>();
   const keys = new Map<string, KeyChange>();
@@ -73,10 +88,15 @@
   }
 
   /**
-   * Only changes that follow on what is held have a generation each; after any
-   * others, what came before cannot be told apart and all is passed on.
+   * Records the generation of each change. This is possible only if the changes
+   * directly follow the current generation. After any other update earlier
+   * changes cannot be assigned to generations, so peers get the complete state.
    */
-  function recordSteps({generation: reached, from, changes}: Update) {
+  function recordChanges({
+    generation: reached,
+    from,
+    changes,
+  }: ConfigurationUpdate) {
     if (reached <= generation) return;
     if (from !== generation) recent.length = 0;
     else {
@@ -84,11 +104,14 @@
         recent.push({generation: from + at + 1, change}),
       );
     }
-    recent.splice(0, recent.length - REMEMBERED_CHANGES);
+    recent.splice(0, recent.length - MAX_RECENT_CHANGES);
   }
 
-  /** The changes after a generation, one by one, while they are remembered. */
-  function findSteps(after: number): Change[] | undefined {
+  /**
+   * The single changes after a generation, or undefined if not all of them are
+   * recorded.
+   */
+  function findRecentChanges(after: number): Change[] | undefined {
     if (after >= generation) return [];
     const first = recent.at(0)?.generation ?? Infinity;
     if (first > after + 1) return undefined;
@@ -106,13 +129,13 @@
     listRejections: () => [...rejections.values()],
     importUpdate(update) {
       update.changes.forEach(importChange);
-      recordSteps(update);
+      recordChanges(update);
       generation = Math.max(generation, update.generation);
     },
     exportUpdate(after, skip) {
-      const steps = findSteps(after);
-      const all = steps ?? [...texts.values(), ...keys.values()];
-      const from = steps ? after : null;
+      const recentChanges = findRecentChanges(after);
+      const all = recentChanges ?? [...texts.values(), ...keys.values()];
+      const from = recentChanges ? after : null;
       const changes = takePage(all.slice(skip));
       const next = skip + changes.length;
       const hasMore = next < all.length;
--- a/src/instance/configuration/constants.ts
+++ b/src/instance/configuration/constants.ts
@@ -1,58 +1,69 @@
 /** Constants of configuration and keys. Times in ms, sizes in bytes. */
 
-/** Partition of the table that holds one row for each service document. */
+/** Partition of the table with one row per service document. */
 export const CONFIGURATION_PARTITION = 'configuration';
 
-/** Partition with every version of each document. */
+/** Partition with all versions of the documents. */
 export const HISTORY_PARTITION = 'configuration-history';
 
-/** Partition with one row for each key, under its hash. */
+/** Partition with one row per key, under the key's hash. */
 export const KEYS_PARTITION = 'keys';
 
-/** Partition with the last changes, under their generations. */
+/** Partition with the latest changes, under their generations. */
 export const CHANGES_PARTITION = 'changes';
 
-/** The row whose version is the generation of configuration and keys. */
+/** Row whose version is the generation of configuration and keys. */
 export const HEAD_KEY = {partition: 'head', sort: 'head'};
 
 /**
- * Time between two looks at the table, one read each: 360 reads a second at
- * 360 instances, of about two thousand. A change is in force well within 3 s.
+ * Interval at which an instance reads the table, with one read each: 360 reads
+ * per second at 360 instances, of about 2000 that the table serves. A change is
+ * active on all instances well within 3 s.
  */
 export const POLL_INTERVAL_MS = 1000;
 
 /**
- * Changes kept in the table, about two days of them. An instance that missed
- * more reads everything anew.
+ * Number of changes retained in the table, about two days of them. An instance
+ * that missed more reads everything again.
  */
-export const KEPT_CHANGES = 2000;
+export const RETAINED_CHANGES = 2000;
 
-/** Changes read in one answer. */
-export const CHANGE_PAGE = 100;
+/** Maximum number of changes in one response of the table. */
+export const CHANGES_PER_PAGE = 100;
 
-/** Changes an instance remembers for its peers; before them all is passed on. */
-export const REMEMBERED_CHANGES = 200;
+/**
+ * Number of changes that an instance remembers for its peers. A peer that is
+ * further behind gets the complete state.
+ */
+export const MAX_RECENT_CHANGES = 200;
 
-/** Changes passed to a peer in one answer hold about so much text. */
+/** Approximate size of the changes in one response to a peer. */
 export const UPDATE_PAGE_BYTES = 96 * 1024;
 
-/** Longest document: it must fit one answer to a peer. 360 accounts take 22 KB. */
+/**
+ * Maximum size of a document: it has to fit into one response to a peer. 360
+ * accounts take 22 KB.
+ */
 export const MAX_DOCUMENT_BYTES = 128 * 1024;
 
-/** Times a change is tried again because another one took its generation. */
-export const MAX_HEAD_RACES = 20;
+/**
+ * Maximum number of times a change is retried because another change took its
+ * generation.
+ */
+export const MAX_GENERATION_CONFLICTS = 20;
 
-/** Times a change is tried again because its answer did not come. */
-export const MAX_UNCLEAR_TRIES = 3;
+/** Maximum number of attempts at a change whose response was lost. */
+export const MAX_UNCLEAR_ATTEMPTS = 3;
 
 /**
- * The store counts as reachable for so long after it was read: one poll and
- * its answer. What peers are told of it is at most so old.
+ * The store counts as reachable for this long after it was read: one poll
+ * interval and the time of a response. The content relayed to peers is at most
+ * this old.
  */
 export const STORE_REACHABLE_MS = 1500;
 
 /**
  * Without a confirmation for this long an instance cannot tell whether a key
- * was withdrawn. It is the time within which a withdrawal is effective.
+ * was withdrawn. This is the guaranteed time until a withdrawal takes effect.
  */
 export const CONFIRMATION_LIMIT_MS = 3000;
--- a/src/instance/configuration/operators_race.test.ts
+++ b/src/instance/configuration/operators_race.test.ts
@@ -11,18 +11,21 @@
   listDocumentHistory,
 } from './apply_document.js';
 import {fetchUpdate} from './change_log.js';
-import {createFleetState} from './fleet_state.js';
+import {createConfigurationState} from './configuration_state.js';
 
 /**
- * What meets one call of an operator's command to the table. `lost`: it takes
- * effect and its answer is lost; `late`: it takes effect after the caller has
- * given up on it.
+ * The fault injected into one call of an operator's command to the table.
+ * `lost`: the call takes effect and its response is lost. `late`: the call
+ * takes effect after the caller has given up on it.
  */
 const callFault = fc.constantFrom(
   ...['none', 'none', 'none', 'refused', 'lost', 'late'],
 );
 
-/** Turns after which a late call takes effect. */
+/**
+ * Number of turns of the event loop's microtask queue after which a late call
+ * takes effect.
+ */
 const LATE_TURNS = 12;
 
 const operator = fc.record({
@@ -36,8 +39,8 @@
   for (let turn = 0; turn < turns; turn++) await Promise.resolve();
 }
 
-/** The table as one operator reaches it: each call meets the next fault. */
-function buildFaulty(
+/** The table as one operator reaches it. Each call gets the next fault. */
+function buildFaultyTable(
   table: TableStore,
   faults: readonly string[],
   waits: readonly number[],
@@ -64,11 +67,11 @@
   };
 }
 
-describe('operators who race while answers are lost and calls refused', () => {
-  it('are each told the truth, and the log has all of it', async () => {
-    // An operator would be told that a document is in force which is not, or
-    // of a conflict with nobody, or two would be given the same version: any
-    // call of any command is refused or loses its answer, in any interleaving.
+describe('concurrent operators with lost responses and refused calls', () => {
+  it('get correct outcomes, and the log contains every change', async () => {
+    // Guards against reporting a document as active that is not, a conflict
+    // with nobody, or the same version to two operators. Any call of any
+    // command may be refused or lose its response, in any interleaving.
     await fc.assert(
       fc.asyncProperty(
         fc.array(operator, {minLength: 2, maxLength: 5}),
@@ -104,7 +107,7 @@
 
           await Promise.all(
             operators.map(async ({action, faults, waits}, at) => {
-              const faulty = buildFaulty(table, faults, waits);
+              const faulty = buildFaultyTable(table, faults, waits);
               try {
                 await actions[action](faulty, `operator-${at}`);
               } catch (error) {
@@ -126,14 +129,14 @@
           for (const keyId of given) assert.equal(stateOf(keyId), 'valid');
           if (withdrawn) assert.equal(stateOf(old.keyId), 'withdrawn');
 
-          const byLog = createFleetState();
-          byLog.importUpdate(await fetchUpdate(table, 1));
-          const version = byLog.findDocument('drum-reader')?.version ?? 0;
+          const replayed = createConfigurationState();
+          replayed.importUpdate(await fetchUpdate(table, 1));
+          const version = replayed.findDocument('drum-reader')?.version ?? 0;
           assert.equal(version, history.length);
           const changes = history.length + keys.length - 1;
           const isWithdrawn = stateOf(old.keyId) === 'withdrawn';
           assert.equal(
-            byLog.getGeneration(),
+            replayed.getGeneration(),
             1 + changes + (isWithdrawn ? 1 : 0),
           );
         },
--- a/src/instance/configuration/peer_sync.ts
+++ b/src/instance/configuration/peer_sync.ts
@@ -1,9 +1,10 @@
 /**
- * Brings configuration and keys from peers while the table gives no answer
- * here: from one witness in each failure domain, so that a cut that hides the
- * table from one domain alone is seen around. While the table answers, nothing
- * is sent. Out of contact an instance asks as many peers a second as there are
- * failure domains (15 at the size to design for), and is asked as often.
+ * Fetches configuration and keys from peers while the table does not answer
+ * this instance. It asks one witness in each failure domain, so that a fault
+ * which hides the table from a single domain is bypassed. While the table
+ * answers, nothing is sent. Without the table, an instance sends as many
+ * requests per second as there are failure domains (15 at the design size) and
+ * receives as many.
  */
 import murmurhash from 'murmurhash';
 import {waitFor, type Clock} from '../../common/clock.js';
@@ -14,46 +15,50 @@
 import type {Configuration} from './configuration.js';
 import type {PeerUpdate} from './configuration_router.js';
 
-/** A turn waits no longer than this for its witnesses, in ms. */
-const WITNESS_PATIENCE_MS = 400;
+/** A poll waits no longer than this for its witnesses, in ms. */
+const WITNESS_TIMEOUT_MS = 400;
 
-/** Asks one peer; rejects when it gives no answer in time. */
+/**
+ * Sends a request to one peer. Rejects if the peer does not respond in time.
+ */
 export type FetchFromPeer = (
   peer: ListedInstance,
   request: {after: number; skip: number},
 ) => Promise<PeerUpdate>;
 
-/** What it works with. */
 export interface PeerSyncDependencies {
   clock: Clock;
-  /** Name of this instance: each begins with other witnesses. */
+  /** Name of this instance. Different names start with different witnesses. */
   self: string;
   /** Failure domain of this instance. */
   failureDomain: string;
   configuration: Configuration;
   /** Other entry instances of the platform's list, suspected ones included. */
   listPeers(): ListedInstance[];
-  /** Whether heartbeats have found a peer silent. */
+  /** Whether heartbeats found a peer silent. */
   isSuspected(name: string): boolean;
   fetchFromPeer: FetchFromPeer;
 }
 
-/** The way to the table through peers. */
+/** Access to the table's content through peers. */
 export interface PeerSync extends StateSource {
-  /** Asks the witnesses unless the table answers here. */
+  /** Asks the witnesses, unless the table answers this instance. */
   poll(): Promise<void>;
   /**
-   * The table's content is known as of this time, from it or through peers.
-   * What a peer relays is dated back to the read it rests on, so that
-   * instances without the table cannot confirm each other.
+   * Time as of which the table's content is known, read from the table or
+   * through peers. Content relayed by a peer counts from the read on which it
+   * is based, so that instances without the table cannot confirm each other.
    */
   getConfirmedAt(): number;
   listAnswers(): WitnessAnswer[];
-  /** Failure domains whose silence would leave it in doubt. */
+  /**
+   * Failure domains whose answers are needed. If one of them is silent, the
+   * instance is in doubt.
+   */
   listFailureDomains(): string[];
 }
 
-/** Starts without an answer from anyone. */
+/** Creates a peer sync that has no answers yet. */
 export function createPeerSync(dependencies: PeerSyncDependencies): PeerSync {
   const {clock, self, failureDomain, configuration} = dependencies;
   const {listPeers, isSuspected, fetchFromPeer} = dependencies;
@@ -62,12 +67,13 @@
   let relayedAt = -Infinity;
 
   /**
-   * Suspected peers only where a domain has no other: with a rack lost, turns
-   * that fall on the lost ones in a row would leave the domain silent too.
+   * Suspected peers are asked only if a domain has no others. Otherwise, after
+   * the loss of a rack, several consecutive turns could fall on lost instances
+   * and the domain would count as silent.
    */
   function listWitnesses(peers: ListedInstance[]): ListedInstance[] {
-    const heard = peers.filter(({name}) => !isSuspected(name));
-    return heard.length > 0 ? heard : peers;
+    const unsuspected = peers.filter(({name}) => !isSuspected(name));
+    return unsuspected.length > 0 ? unsuspected : peers;
   }
 
   function listByDomain(): Map<string, ListedInstance[]> {
@@ -79,15 +85,20 @@
     return domains;
   }
 
-  /** A long update comes in parts; one that changed meanwhile starts anew. */
-  async function fetchWhole(peer: ListedInstance): Promise<PeerUpdate> {
+  /**
+   * A long update comes in parts. If the peer's generation changes between two
+   * parts, the fetch fails and the next poll starts again.
+   */
+  async function fetchAllParts(peer: ListedInstance): Promise<PeerUpdate> {
     const after = configuration.describeGeneration();
     const first = await fetchFromPeer(peer, {after, skip: 0});
     const changes: Change[] = [...first.changes];
     for (let skip = first.next; skip !== undefined;) {
       const part = await fetchFromPeer(peer, {after, skip});
       if (part.generation !== first.generation) {
-        throw new Error('the peer went on meanwhile');
+        throw new Error(
+          'the peer changed its generation between two parts of an update',
+        );
       }
       changes.push(...part.changes);
       skip = part.next;
@@ -95,9 +106,9 @@
     return {...first, changes};
   }
 
-  async function askWitness(domain: string, peer: ListedInstance) {
+  async function fetchFromWitness(domain: string, peer: ListedInstance) {
     const askedAt = clock.now();
-    const update = await fetchWhole(peer);
+    const update = await fetchAllParts(peer);
     configuration.importDocuments(update);
     answers.set(domain, {failureDomain: domain, askedAt});
     if (update.confirmedMsAgo === null) return;
@@ -105,23 +116,28 @@
   }
 
   /**
-   * The witnesses of a domain take turns: if one reads the table and another
-   * does not, it is found within as many seconds, or through one that asked it.
-   * One that has just died answers nothing until its call times out; waiting
-   * for that would make its domain silent for longer than
-   * CONFIRMATION_LIMIT_MS, and an outage for all look like a cut.
+   * The witnesses of a domain take turns. If only some of them read the table,
+   * one that does is asked within as many seconds as the domain has witnesses.
+   * Or a witness that cannot read the table has the content from another
+   * instance.
+   *
+   * A witness that has just died does not answer before the call times out.
+   * Waiting for that would make its domain silent for longer than
+   * CONFIRMATION_LIMIT_MS, and an outage for all instances would look like a
+   * network partition.
    */
-  async function askDomain(domain: string, peers: ListedInstance[]) {
-    const asked = askWitness(domain, peers[turn % peers.length]);
-    // Silence is the finding: the domain's last answer grows old.
-    const settled = asked.catch(() => {});
-    await Promise.race([settled, waitFor(clock, WITNESS_PATIENCE_MS)]);
+  async function fetchFromDomain(domain: string, peers: ListedInstance[]) {
+    const fetched = fetchFromWitness(domain, peers[turn % peers.length]);
+    // A failure needs no handling: the last answer of the domain grows older.
+    const settled = fetched.catch(() => {});
+    await Promise.race([settled, waitFor(clock, WITNESS_TIMEOUT_MS)]);
   }
 
   /**
-   * Its own poll already tells what its own domain sees. Were others of that
-   * domain needed too, the only neighbour of a lost instance would be in doubt
-   * until the list forgot the lost one.
+   * The own domain is left out, because the instance's own poll already shows
+   * what that domain sees. If answers from peers of the own domain were needed
+   * too, the only neighbour of a lost instance would be in doubt until the list
+   * no longer contained the lost one.
    */
   function listFailureDomains(): string[] {
     const domains = [...listByDomain().keys()];
@@ -139,7 +155,9 @@
       turn++;
       const domains = [...listByDomain()];
       await Promise.all(
-        domains.map(([name, peers]) => askDomain(name, listWitnesses(peers))),
+        domains.map(([name, peers]) =>
+          fetchFromDomain(name, listWitnesses(peers)),
+        ),
       );
     },
     getConfirmedAt,
--- a/src/instance/configuration/service_catalog.ts
+++ b/src/instance/configuration/service_catalog.ts
@@ -1,8 +1,8 @@
-/** The services of the documents in force, as dispatch sees them. */
+/** Provides the dispatcher with the services of the active documents. */
 import type {ServiceCatalog} from '../dispatch/dispatch.js';
 import type {Configuration} from './configuration.js';
 
-/** Follows the configuration. */
+/** Creates a catalog that reads the current configuration. */
 export function createServiceCatalog(
   configuration: Pick<Configuration, 'find' | 'list'>,
 ): ServiceCatalog {
--- a/src/instance/configuration/service_document.ts
+++ b/src/instance/configuration/service_document.ts
@@ -1,6 +1,6 @@
 /**
- * The document of one service: what its own team declares and edits. Every
- * key has a unit, a range and, where a default exists, that default here.
+ * The document of one service, which its own team declares and edits. This
+ * schema defines the unit, the range and any default of every key.
  */
 import * as z from 'zod';
 import {parseIniDocument} from '../../common/ini_document.js';
@@ -35,7 +35,7 @@
   })
   .superRefine(checkServiceSection);
 
-/** What no single key can tell. */
+/** Checks conditions that involve several keys. */
 function checkServiceSection(
   section: {
     kind: string;
@@ -150,7 +150,10 @@
     .describe('Regions that run it; none named means all.'),
 });
 
-/** An engine ordered to run a model that no request may name would idle. */
+/**
+ * Rejects a model section that no request may name: an engine ordered to run
+ * that model would stay idle.
+ */
 function checkModelSections(
   document: {service: {models: string[]}; model: Record<string, unknown>},
   context: z.RefinementCtx,
@@ -173,7 +176,10 @@
     batch: batchSectionSchema.prefault({}),
     isolation: isolationSectionSchema.prefault({}),
     account: z.record(nameSchema, accountSectionSchema).default({}),
-    /** What engines are ordered to run; without any, no orders are given. */
+    /**
+     * Models that engines are ordered to run. Without any, no orders are
+     * issued.
+     */
     model: z.record(nameSchema, modelSectionSchema).default({}),
   })
   .superRefine(checkModelSections);
@@ -184,7 +190,7 @@
 /** Limits and weight of one client account in a service. */
 export type AccountLimits = z.infer<typeof accountSectionSchema>;
 
-/** Throws InvalidDocumentError; `source` names the text in errors. */
+/** Throws InvalidDocumentError. `source` names the text in its message. */
 export function parseServiceDocument(
   text: string,
   source: string,
