--- a/src/instance/peers/call_bounds.ts
+++ b/src/instance/peers/call_bounds.ts
@@ -1,10 +1,10 @@
 /**
- * Bounds on calls to one peer: each has a time-out, and only so many may be
- * under way.
+ * Bounds the calls to one peer: each call has a timeout, and the number of
+ * calls in flight is limited.
  *
- * Failure it answers: a peer or the way to it goes silent. Symptom without it:
- * calls wait for good and pile up in memory. Every call ends in time, and the
- * listener learns of it, to replace the connection.
+ * Failure: a peer or the network path to it goes silent. Without the bounds,
+ * calls would wait forever and pile up in memory. With them, every call ends in
+ * time, and a listener is notified so that it can replace the connection.
  */
 import {TRPCClientError, type TRPCLink} from '@trpc/client';
 import type {AnyRouter} from '@trpc/server';
@@ -12,7 +12,7 @@
 import type {Clock} from '../../common/clock.js';
 import {CALL_TIMEOUT_MS, MAX_CALLS_IN_FLIGHT} from './constants.js';
 
-/** A call to a peer was not answered. */
+/** A call to a peer got no response. */
 export class PeerCallError extends Error {
   /** Whether the call may have reached the peer. */
   readonly sent: boolean;
@@ -24,7 +24,7 @@
   }
 }
 
-/** `onTimeout` is told when the call was sent. */
+/** `onTimeout` is called with the time at which the call was sent. */
 export function createCallBounds<Router extends AnyRouter>(
   clock: Clock,
   onTimeout: (sentAt: number) => void,
@@ -35,7 +35,7 @@
     ({next, op}) =>
       observable(observer => {
         if (inFlight >= MAX_CALLS_IN_FLIGHT) {
-          const error = new PeerCallError('too many calls to this peer', false);
+          const error = new PeerCallError('too many calls in flight to this peer', false);
           observer.error(TRPCClientError.from(error));
           return;
         }
@@ -44,7 +44,10 @@
         const timeoutMs = Number(op.context.timeoutMs ?? CALL_TIMEOUT_MS);
         const cancelTimer = clock.schedule(timeoutMs, () => {
           subscription.unsubscribe();
-          const error = new PeerCallError(`${op.path}: no answer`, true);
+          const error = new PeerCallError(
+            `${op.path}: no response within the timeout`,
+            true,
+          );
           observer.error(TRPCClientError.from(error));
           onTimeout(sentAt);
         });
--- a/src/instance/peers/peer_client.ts
+++ b/src/instance/peers/peer_client.ts
@@ -1,4 +1,4 @@
-/** Calls to other instances, over one connection to each. */
+/** Calls to other instances, over one connection per peer. */
 import {createTRPCClient, createWSClient, wsLink} from '@trpc/client';
 import type {TRPCClient} from '@trpc/client';
 import type {AnyRouter} from '@trpc/server';
@@ -16,14 +16,14 @@
 import type {PeerRouter} from './peer_router.js';
 import {createPeerSocketClass} from './peer_socket.js';
 
-/** Typed client of one peer. Every call ends within its time-out. */
+/** Typed client of one peer. Every call ends within its timeout. */
 export type PeerClient = TRPCClient<PeerRouter>;
 
-/** The clients of all peers this instance talks to. */
+/** The clients of all peers that this instance calls. */
 export interface PeerClients<Router extends AnyRouter = PeerRouter> {
-  /** Connects on first use; the client reconnects by itself. */
+  /** Connects on first use. The client reconnects by itself. */
   get(address: string): TRPCClient<Router>;
-  /** Ends the connection to a peer that has left. */
+  /** Closes the connection to a peer that has left. */
   remove(address: string): void;
   close(): void;
 }
@@ -34,7 +34,7 @@
   close(): void;
 }
 
-/** `self` is told to each peer on connecting. */
+/** `self` is sent to each peer when a connection opens. */
 export function createPeerClients<Router extends AnyRouter = PeerRouter>(
   self: SelfDescription,
   keys: PeerKeys,
@@ -44,33 +44,38 @@
   let replaced = 0;
 
   /**
-   * A connection that something on the way has lost track of stays open and
-   * silent, while new ones work. If nothing at all came in since a call was
-   * sent and that call timed out, the next call gets a new connection.
+   * Replaces a connection that is open but silent. If a device on the network
+   * path has lost the connection's state, it stays open and silent, while new
+   * connections work. So if nothing was received since a call was sent, and
+   * that call timed out, the next call uses a new connection.
    */
-  function replaceIfSilent(address: string, sentAt: number, heardAt: number) {
-    if (heardAt >= sentAt) return;
+  function replaceIfSilent(
+    address: string,
+    sentAt: number,
+    lastReceivedAt: number,
+  ) {
+    if (lastReceivedAt >= sentAt) return;
     replaced++;
     remove(address);
   }
 
   function openConnection(address: string): Connection<Router> {
-    let heardAt = -Infinity;
+    let lastReceivedAt = -Infinity;
     let keyIndex = 0;
     let open = false;
     const socketClass = createPeerSocketClass(self, {
       chooseKey: () => keys[keyIndex % keys.length],
       onOpen() {
         open = true;
-        heardAt = clock.now();
+        lastReceivedAt = clock.now();
       },
       onMessage() {
-        heardAt = clock.now();
+        lastReceivedAt = clock.now();
       },
       onClose(opened) {
         open = false;
-        // While a rotation rolls over the fleet the peer may know only the
-        // previous key: an attempt that fails is followed by one with the next.
+        // During a key rotation the peer may know only the previous key: after
+        // a failed attempt, the next one uses the next key.
         if (!opened) keyIndex++;
       },
     });
@@ -87,10 +92,11 @@
       },
     });
     const bounds = createCallBounds<Router>(clock, sentAt =>
-      replaceIfSilent(address, sentAt, heardAt),
+      replaceIfSilent(address, sentAt, lastReceivedAt),
     );
     const client = createTRPCClient<Router>({
-      // No router of ours transforms data, which the generic type cannot tell.
+      // No router of this project transforms data, but the generic type does
+      // not show that.
       links: [bounds, wsLink<Router>({client: socket} as never)],
     });
     return {client, isOpen: () => open, close: () => void socket.close()};
--- a/src/instance/peers/peer_keys.ts
+++ b/src/instance/peers/peer_keys.ts
@@ -1,17 +1,17 @@
 /**
- * The shared key that proves a connection to come from one of our instances.
- * Its identity, sent in the clear, tells which key a client uses, so that the
- * previous one keeps working while a rotation rolls over the fleet.
+ * The shared key that authenticates connections between instances. Its identity
+ * is sent in clear text and shows which key a client uses, so that the previous
+ * key continues to work while a rotation proceeds through the fleet.
  */
 import {scryptSync} from 'node:crypto';
 
-/** A key as the TLS handshake uses it. */
+/** A key as used in the TLS handshake. */
 export interface PeerKey {
   identity: string;
   secret: Buffer;
 }
 
-/** The keys of this instance, the one for its own calls first. */
+/** The keys of this instance. The first one is for its own calls. */
 export type PeerKeys = readonly [PeerKey, ...PeerKey[]];
 
 const SALT = 'mulberryrouter peers';
@@ -19,12 +19,12 @@
 const SECRET_BYTES = 32;
 
 /**
- * Cost of one guess at a weak key from its identity. Deriving takes about 10 ms,
- * once at start.
+ * Makes it costly to guess a weak key from its identity. Deriving a key takes
+ * about 10 ms, once at startup.
  */
 const SCRYPT_COST = 2 ** 12;
 
-/** `key` and `previousKey` are those of the settings. */
+/** `key` and `previousKey` are taken from the settings. */
 export function createPeerKeys(key: string, previousKey?: string): PeerKeys {
   const current = createPeerKey(key);
   return previousKey ? [current, createPeerKey(previousKey)] : [current];
--- a/src/instance/peers/peer_procedures.ts
+++ b/src/instance/peers/peer_procedures.ts
@@ -1,20 +1,22 @@
 /**
- * The builder of procedures between instances. Each feature makes a router of
- * its own with it; peer_router.ts puts them together.
+ * Builder of the procedures that instances call on each other. Each feature
+ * builds its own router, and peer_router.ts combines them.
  */
 import {initTRPC} from '@trpc/server';
 
-/** Who calls: proved by the connection it came on. */
+/**
+ * Identity of the calling peer, on a connection authenticated by the shared
+ * key.
+ */
 export interface PeerContext {
-  /** Name and incarnation that the peer gave when it connected. */
+  /** Name and incarnation that the peer sent when it connected. */
   peerName: string;
   peerIncarnation: string;
 }
 
 const builder = initTRPC.context<PeerContext>().create();
 
-/** Makes a router from procedures. */
 export const buildPeerRouterOf = builder.router;
 
-/** Base of every procedure between instances. */
+/** Base of all procedures between instances. */
 export const peerProcedure = builder.procedure;
--- a/src/instance/peers/peer_router.ts
+++ b/src/instance/peers/peer_router.ts
@@ -1,4 +1,4 @@
-/** Every procedure that one instance may call on another. */
+/** All procedures that one instance may call on another. */
 import {
   buildConfigurationRouter,
   type ConfigurationRouterDependencies,
@@ -24,7 +24,7 @@
 import {buildRoutingRouter} from '../routing/routing_sync.js';
 import type {RoutingTable} from '../routing/routing_table.js';
 import {buildPeerRouterOf} from './peer_procedures.js';
-import {buildStoreRouter, type OwnStore} from './relayed_store.js';
+import {buildStoreRouter, type DirectStore} from './relayed_store.js';
 
 /** The features that peers may call. */
 export interface PeerFeatures {
@@ -34,7 +34,7 @@
   configuration: ConfigurationRouterDependencies;
 }
 
-/** One router for each feature. */
+/** Builds a router with one part per feature. */
 export function buildPeerRouter(features: PeerFeatures) {
   return buildPeerRouterOf({
     members: buildMembersRouter(features.members),
@@ -51,11 +51,11 @@
   ownerLimits: OwnerLimits;
   routing: RoutingTable;
   bundles: BundleNotices;
-  /** This instance's own way to the store. */
-  store: OwnStore;
+  /** This instance's direct access to the store. */
+  store: DirectStore;
 }
 
-/** The router of an instance that serves routes. */
+/** Builds the router of an instance that serves routes. */
 export function buildGatewayPeerRouter(features: GatewayFeatures) {
   return buildPeerRouterOf({
     members: buildMembersRouter(features.members),
@@ -67,7 +67,7 @@
   });
 }
 
-/** Type of that router, for clients. */
+/** Type of the gateway router, for clients. */
 export type GatewayPeerRouter = ReturnType<typeof buildGatewayPeerRouter>;
 
 /** Type of the router, for clients. */
--- a/src/instance/peers/peer_server.ts
+++ b/src/instance/peers/peer_server.ts
@@ -1,7 +1,7 @@
 /**
- * Listens for other instances: trpc over one WebSocket for each peer, inside
- * TLS proved by the shared key. Whoever has no key fails in the handshake,
- * before a byte of it reaches HTTP, WebSocket or trpc.
+ * Listens for other instances: tRPC over one WebSocket per peer, inside TLS
+ * that is authenticated by the shared key. A client without the key fails in
+ * the handshake, before any of its bytes reach HTTP, WebSocket or tRPC code.
  */
 import {constants as cryptoConstants} from 'node:crypto';
 import {createServer} from 'node:https';
@@ -21,12 +21,14 @@
 /** The running listener. */
 export interface PeerServer {
   address: string;
-  /** Bytes that went either way on all connections so far, TLS included. */
+  /**
+   * Number of bytes sent and received on all connections so far, TLS included.
+   */
   countBytes(): number;
   close(): Promise<void>;
 }
 
-/** Listens on `host` and `port`; 0 takes a free port. */
+/** Listens on `host` and `port`. Port 0 selects a free port. */
 export async function startPeerServer(
   host: string,
   port: number,
@@ -61,8 +63,8 @@
     });
   });
   const sockets = new WebSocketServer({server, maxPayload: MAX_FRAME_BYTES});
-  // ws closes a socket that breaks its rules; without a listener the error
-  // would end the process.
+  // ws closes a socket that violates the protocol. Without a listener, its
+  // error event would end the process.
   sockets.on('connection', socket => socket.on('error', () => {}));
   applyWSSHandler({
     wss: sockets,
--- a/src/instance/peers/peer_socket.ts
+++ b/src/instance/peers/peer_socket.ts
@@ -8,17 +8,17 @@
 } from './constants.js';
 import type {PeerKey} from './peer_keys.js';
 
-/** What a client wants to know of its socket. */
+/** Callbacks of a peer's socket. */
 export interface SocketEvents {
-  /** The key for the next attempt. */
+  /** Returns the key for the next connection attempt. */
   chooseKey(): PeerKey;
   onOpen(): void;
   onMessage(): void;
-  /** `opened`: whether the attempt had got as far as an open connection. */
+  /** `opened`: whether the connection was open before it closed. */
   onClose(opened: boolean): void;
 }
 
-/** A WebSocket class bound to one peer, as the trpc client takes it. */
+/** Creates a WebSocket class for one peer, as the tRPC client expects it. */
 export function createPeerSocketClass(
   self: SelfDescription,
   events: SocketEvents,
@@ -37,7 +37,7 @@
         ciphers: PEER_CIPHERS,
         minVersion: 'TLSv1.2',
         maxVersion: 'TLSv1.2',
-        // There are no certificates: the shared key proves both ends.
+        // There are no certificates: the shared key authenticates both ends.
         checkServerIdentity: () => undefined,
         pskCallback: () => ({identity: key.identity, psk: key.secret}),
       } as never);
--- a/src/instance/peers/peers.test.ts
+++ b/src/instance/peers/peers.test.ts
@@ -1,4 +1,7 @@
-/** Procedures between two instances over loopback, and who is kept out. */
+/**
+ * Procedure calls between two instances over loopback, and clients that must be
+ * rejected.
+ */
 import assert from 'node:assert/strict';
 import {connect as connectTcp, createServer, type Socket} from 'node:net';
 import {once} from 'node:events';
@@ -55,8 +58,11 @@
   return {host, port: Number(port)};
 }
 
-/** Their calls time out on virtual time only: a busy machine does no harm. */
-function createPatientClients(
+/**
+ * Creates clients whose calls time out on virtual time only, so that a slow
+ * machine causes no failures.
+ */
+function createVirtualTimeClients(
   clientKeys: PeerKeys,
   clock = createVirtualClock(),
 ): PeerClients {
@@ -73,19 +79,19 @@
   after(() => server.close());
 
   it('answers a heartbeat with its incarnation', async () => {
-    const clients = createPatientClients(keys);
+    const clients = createVirtualTimeClients(keys);
     const answer = await sendHeartbeat(clients, server.address);
     assert.equal(answer, 'run-of-entry-2');
     clients.close();
   });
 
   describe('rotation', () => {
-    // The new key rolls over the fleet one instance at a time. Calls between
-    // an instance that has it and one that has not must work in both
-    // directions, or half the fleet would suspect the other half.
+    // During a rotation, instances get the new key one at a time. Calls between
+    // an instance that has it and one that does not must work in both
+    // directions. Otherwise half of the fleet would suspect the other half.
     it('lets a rotated client call an instance that is not rotated', async () => {
       const rotated = createPeerKeys(NEXT_KEY, KEY);
-      const clients = createPatientClients(rotated);
+      const clients = createVirtualTimeClients(rotated);
       const answer = await sendHeartbeat(clients, server.address);
       assert.equal(answer, 'run-of-entry-2');
       clients.close();
@@ -93,7 +99,7 @@
 
     it('lets a client that is not rotated call a rotated instance', async () => {
       const rotated = await startServer(createPeerKeys(NEXT_KEY, KEY));
-      const clients = createPatientClients(keys);
+      const clients = createVirtualTimeClients(keys);
       const answer = await sendHeartbeat(clients, rotated.address);
       assert.equal(answer, 'run-of-entry-2');
       clients.close();
@@ -101,15 +107,15 @@
     });
   });
 
-  describe('outsiders', () => {
-    it('get no answer with a wrong key', async () => {
+  describe('clients without the key', () => {
+    it('get no response with a wrong key', async () => {
       const wrong = createPeerKeys(NEXT_KEY);
       const clients = createPeerClients(makeSelf('entry-1'), wrong);
       await assert.rejects(sendHeartbeat(clients, server.address));
       clients.close();
     });
 
-    it('get no answer with the right identity and a wrong secret', async () => {
+    it('get no response with the right identity and a wrong secret', async () => {
       const {identity} = keys[0];
       const socket = connectTls({
         ...splitHostPort(server.address),
@@ -129,7 +135,7 @@
       ],
       ['garbage', '\x16\x03\x01\xff\xff\x00garbage'.repeat(50)],
     ]) {
-      it(`get nothing but a TLS alert for ${what}`, async () => {
+      it(`get at most a TLS alert for ${what}`, async () => {
         const socket = connectTcp(splitHostPort(server.address));
         const received: Buffer[] = [];
         socket.on('data', data => received.push(data));
@@ -137,13 +143,13 @@
         socket.write(bytes);
         await once(socket, 'close');
         const answer = Buffer.concat(received);
-        // 7 bytes at most: type, version and length of a record, level, reason.
+        // At most 7 bytes: type, version and length of a record, level, reason.
         assert.ok(answer.length <= 7, answer.toString('hex'));
         assert.ok(answer.length === 0 || answer[0] === 21);
       });
     }
 
-    it('cannot keep a peer from working with an oversized frame', async () => {
+    it('cannot stop a peer with an oversized frame', async () => {
       const {identity, secret} = keys[0];
       const socket = new WebSocket(`wss://${server.address}`, {
         ciphers: PEER_CIPHERS,
@@ -157,45 +163,41 @@
       const signal = AbortSignal.timeout(5000);
       const [code] = await once(socket, 'close', {signal});
       assert.ok(code === 1009 || code === 1006, `${code}`);
-      const clients = createPatientClients(keys);
+      const clients = createVirtualTimeClients(keys);
       await sendHeartbeat(clients, server.address);
       clients.close();
     });
   });
 
-  it(
-    'replaces a connection that has gone silent',
-    {timeout: 10_000},
-    async () => {
-      // Something between two instances loses track of their connection: it
-      // stays open and nothing arrives. One call times out; the next goes over a
-      // new connection and is answered, as new ones work.
-      const sockets: Socket[] = [];
-      const relay = createServer(inbound => {
-        const outbound = connectTcp(splitHostPort(server.address));
-        inbound.pipe(outbound);
-        outbound.pipe(inbound);
-        for (const socket of [inbound, outbound]) {
-          socket.on('error', () => {});
-          sockets.push(socket);
-        }
-      });
-      relay.listen(0, '127.0.0.1');
-      await once(relay, 'listening');
-      const {port} = relay.address() as {port: number};
-      const clock = createVirtualClock();
-      const clients = createPatientClients(keys, clock);
-      await sendHeartbeat(clients, `127.0.0.1:${port}`);
-      for (const socket of sockets) socket.unpipe().pause();
-      clock.advance(1);
-      const unanswered = sendHeartbeat(clients, `127.0.0.1:${port}`);
-      clock.advance(CALL_TIMEOUT_MS);
-      await assert.rejects(unanswered);
-      const answer = await sendHeartbeat(clients, `127.0.0.1:${port}`);
-      assert.equal(answer, 'run-of-entry-2');
-      clients.close();
-      for (const socket of sockets) socket.destroy();
-      relay.close();
-    },
-  );
+  it('replaces a silent connection', {timeout: 10_000}, async () => {
+    // A device between two instances loses the state of their connection: it
+    // stays open and nothing arrives. One call times out. The next one uses a
+    // new connection and gets a response.
+    const sockets: Socket[] = [];
+    const proxy = createServer(inbound => {
+      const outbound = connectTcp(splitHostPort(server.address));
+      inbound.pipe(outbound);
+      outbound.pipe(inbound);
+      for (const socket of [inbound, outbound]) {
+        socket.on('error', () => {});
+        sockets.push(socket);
+      }
+    });
+    proxy.listen(0, '127.0.0.1');
+    await once(proxy, 'listening');
+    const {port} = proxy.address() as {port: number};
+    const clock = createVirtualClock();
+    const clients = createVirtualTimeClients(keys, clock);
+    await sendHeartbeat(clients, `127.0.0.1:${port}`);
+    for (const socket of sockets) socket.unpipe().pause();
+    clock.advance(1);
+    const unanswered = sendHeartbeat(clients, `127.0.0.1:${port}`);
+    clock.advance(CALL_TIMEOUT_MS);
+    await assert.rejects(unanswered);
+    const answer = await sendHeartbeat(clients, `127.0.0.1:${port}`);
+    assert.equal(answer, 'run-of-entry-2');
+    clients.close();
+    for (const socket of sockets) socket.destroy();
+    proxy.close();
+  });
 });
--- a/src/instance/peers/relayed_store.test.ts
+++ b/src/instance/peers/relayed_store.test.ts
@@ -1,4 +1,4 @@
-/** The store through a peer, with faults on both ways. */
+/** Access to the store through a peer, with faults on both paths. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createSharedTime} from '../../common/shared_time.js';
@@ -20,29 +20,31 @@
   condition: {kind: 'absent'},
 } as const;
 
-/** A store of its own, and the time as the store tells it. */
-function createOwnStore(time = createSharedTime(createVirtualClock())) {
+/** Creates a store with its own shared time. */
+function createDirectStore(time = createSharedTime(createVirtualClock())) {
   return {...createMemoryPlatform(), time};
 }
 
-const OUT = createOwnStore();
-OUT.faults.down = true;
+const UNAVAILABLE_STORE = createDirectStore();
+UNAVAILABLE_STORE.faults.down = true;
 
-/** An instance without the store beside a peer that has it. */
-function createPair(bring?: (call: ReturnType<CallRelay>) => typeof call) {
-  const memory = createOwnStore();
+/** Creates an instance without store access, and a peer that has it. */
+function createPair(
+  injectFault?: (call: ReturnType<CallRelay>) => typeof call,
+) {
+  const memory = createDirectStore();
   const caller = buildStoreRouter(memory).createCaller({
     peerName: 'entry-2',
     peerIncarnation: 'run',
   });
   const relay: CallRelay = call => {
     const answer = caller.run(call);
-    return bring ? bring(answer) : answer;
+    return injectFault ? injectFault(answer) : answer;
   };
-  return {memory, store: createRelayedStore(OUT, relay)};
+  return {memory, store: createRelayedStore(UNAVAILABLE_STORE, relay)};
 }
 
-describe('the store through a peer', () => {
+describe('relayed store', () => {
   it('reads and writes rows and objects', async () => {
     const {store, memory} = createPair();
     assert.equal((await store.table.transact([PUT])).kind, 'committed');
@@ -58,23 +60,23 @@
     assert.equal(await memory.objects.get('one'), undefined);
   });
 
-  // An instance that starts while the store turns it away hears the store's time
-  // from nobody else; without it, it could accept no bundle.
-  it('brings the time of the store', async () => {
+  // Guards against an instance that can accept no bundles: if the store refuses
+  // it from its start, it can learn the store's time only from a peer.
+  it('receives the time of the store', async () => {
     const {store, memory} = createPair();
     memory.time.note(90_000);
     await store.table.get(KEY);
-    assert.equal(OUT.time.read(), 90_000);
+    assert.equal(UNAVAILABLE_STORE.time.read(), 90_000);
   });
 
-  it('asks the store itself while no peer is needed', async () => {
-    const own = createOwnStore();
-    const store = createRelayedStore(own, () => undefined);
+  it('calls the store itself while no peer is needed', async () => {
+    const direct = createDirectStore();
+    const store = createRelayedStore(direct, () => undefined);
     await store.table.transact([PUT]);
-    assert.equal((await own.table.get(KEY))?.fields.value, 1);
+    assert.equal((await direct.table.get(KEY))?.fields.value, 1);
   });
 
-  it('passes on whether a failed write may have taken effect', async () => {
+  it('reports whether a failed write may have taken effect', async () => {
     const {store, memory} = createPair();
     memory.faults.down = true;
     await assert.rejects(store.table.transact([PUT]), {effect: 'none'});
@@ -83,11 +85,12 @@
     await assert.rejects(store.table.transact([PUT]), {effect: 'unknown'});
   });
 
-  describe('when the answer of the peer is lost', () => {
-    // The caller would be told that its bundle is not kept although the peer
-    // has written it. A call that was sent and not answered is unclear; one
-    // that never left this instance had no effect, and a read never has one.
-    function bringLoss(sent: boolean) {
+  describe('when the response of the peer is lost', () => {
+    // Guards against telling a caller that its bundle was not stored although
+    // the peer has written it. The outcome of a call that was sent and got no
+    // response is unknown. A call that never left this instance had no effect,
+    // and a read never has one.
+    function createLossyPair(sent: boolean) {
       return createPair(async answer => {
         if (sent) await answer;
         throw Object.assign(new Error('no answer'), {
@@ -96,16 +99,16 @@
       });
     }
 
-    it('counts a write that was sent as unclear', async () => {
-      const {store, memory} = bringLoss(true);
+    it('reports the outcome of a sent write as unknown', async () => {
+      const {store, memory} = createLossyPair(true);
       await assert.rejects(store.table.transact([PUT]), {effect: 'unknown'});
       assert.equal((await memory.table.get(KEY))?.fields.value, 1);
     });
 
-    it('counts what was not sent, and reads, as without effect', async () => {
-      const {store} = bringLoss(false);
+    it('reports unsent calls and reads as having no effect', async () => {
+      const {store} = createLossyPair(false);
       await assert.rejects(store.table.transact([PUT]), {effect: 'none'});
-      const read = bringLoss(true).store.table.get(KEY);
+      const read = createLossyPair(true).store.table.get(KEY);
       await assert.rejects(
         read,
         (error: StoreError) => error.effect === 'none',
--- a/src/instance/peers/relayed_store.ts
+++ b/src/instance/peers/relayed_store.ts
@@ -1,12 +1,12 @@
 /**
- * The store through a peer, for an instance that the store turns away while it
- * serves others.
+ * Access to the store through a peer, for an instance that the store refuses
+ * while it serves others.
  *
- * Failure it answers: the store refuses one instance for seconds. Symptom
- * without it: bundles that it works on list nothing and are late, and callers
- * that reach it are refused. The peer settles each write with the store; when
- * the peer's answer is lost, the write counts as unclear, as it would have
- * with the store itself.
+ * Failure: the store refuses one instance for seconds. Without the relay, the
+ * bundles that this instance works on see no items and finish late, and callers
+ * that reach it are refused. The peer determines the outcome of each write with
+ * the store. If the peer's response is lost, the outcome counts as unknown, as
+ * it would with the store itself.
  */
 import * as z from 'zod';
 import type {SharedTime} from '../../common/shared_time.js';
@@ -15,15 +15,15 @@
 import {PeerCallError} from './call_bounds.js';
 import {buildPeerRouterOf, peerProcedure} from './peer_procedures.js';
 
-/** What is kept in the store. */
-export interface KeptStore {
+/** Tables and objects of the store. */
+export interface StoreAccess {
   table: TableStore;
   objects: SmallObjects;
 }
 
-/** The store as an instance reaches it by itself. */
-export interface OwnStore extends KeptStore {
-  /** The store's clock. */
+/** Direct access of an instance to the store. */
+export interface DirectStore extends StoreAccess {
+  /** The time of the store's clock. */
   time: SharedTime;
 }
 
@@ -37,14 +37,15 @@
     'delete',
     'list',
   ]),
-  /** JSON of the arguments; bytes as base64. */
+  /** JSON of the arguments, with bytes as base64. */
   input: z.string(),
 });
 
 const answerSchema = z.union([
   /**
-   * JSON of the result, absent for none; and the store's time, which an instance
-   * that never reached the store cannot know otherwise.
+   * `result` is JSON, absent if the call returns nothing. `storeTime` is the
+   * store's time: an instance that has never reached the store cannot know it
+   * otherwise.
    */
   z.strictObject({
     result: z.string().optional(),
@@ -53,21 +54,24 @@
   z.strictObject({error: z.string(), effect: z.enum(['none', 'unknown'])}),
 ]);
 
-/** A call on the store as it is sent to a peer. */
+/** A call to the store as it is sent to a peer. */
 export type RelayedCall = z.infer<typeof callSchema>;
 type RelayedAnswer = z.infer<typeof answerSchema>;
 
-/** Sends a call to a peer that reaches the store; undefined when none does. */
+/**
+ * Sends a call to a peer that reaches the store. Returns undefined if the call
+ * should go to the store directly.
+ */
 export type CallRelay = (
   call: RelayedCall,
 ) => Promise<RelayedAnswer> | undefined;
 
 type Arguments = Record<string, never>;
 
-/** What a peer runs for each method. */
+/** Runs a peer's call of each method. */
 const HANDLERS: Record<
   RelayedCall['method'],
-  (store: KeptStore, input: Arguments) => Promise<unknown>
+  (store: StoreAccess, input: Arguments) => Promise<unknown>
 > = {
   get: ({table}, {key}) => table.get(key),
   query: ({table}, {partition, range}) => table.query(partition, range),
@@ -80,8 +84,8 @@
   list: ({objects}, {prefix, after}) => objects.list(prefix, after),
 };
 
-/** Runs peers' calls on this instance's own way to the store. */
-export function buildStoreRouter(store: OwnStore) {
+/** Runs calls of peers through this instance's direct access to the store. */
+export function buildStoreRouter(store: DirectStore) {
   return buildPeerRouterOf({
     run: peerProcedure
       .input(callSchema)
@@ -99,9 +103,15 @@
   });
 }
 
-/** The store itself, or a peer where `relay` gives one. */
-export function createRelayedStore(own: OwnStore, relay: CallRelay): KeptStore {
-  async function awaitPeer(
+/**
+ * Sends calls through a peer if `relay` offers one, otherwise to the store
+ * itself.
+ */
+export function createRelayedStore(
+  direct: DirectStore,
+  relay: CallRelay,
+): StoreAccess {
+  async function awaitRelayed(
     pending: Promise<RelayedAnswer>,
     isWrite: boolean,
   ): Promise<unknown> {
@@ -111,27 +121,27 @@
     } catch (error) {
       throw new StoreError(
         'the peer that reaches the store gave no answer',
-        isWrite && isSent(error) ? 'unknown' : 'none',
+        isWrite && isPossiblySent(error) ? 'unknown' : 'none',
         error,
       );
     }
     if ('error' in answer) throw new StoreError(answer.error, answer.effect);
-    if (answer.storeTime !== undefined) own.time.note(answer.storeTime);
+    if (answer.storeTime !== undefined) direct.time.note(answer.storeTime);
     return answer.result === undefined ? undefined : JSON.parse(answer.result);
   }
 
   async function runCall<Result>(
     method: RelayedCall['method'],
     input: object,
-    runOwn: () => Promise<Result>,
+    runDirect: () => Promise<Result>,
     isWrite: boolean,
   ): Promise<Result> {
     const pending = relay({method, input: JSON.stringify(input)});
-    if (!pending) return runOwn();
-    return (await awaitPeer(pending, isWrite)) as Result;
+    if (!pending) return runDirect();
+    return (await awaitRelayed(pending, isWrite)) as Result;
   }
 
-  const {table, objects} = own;
+  const {table, objects} = direct;
   return {
     table: {
       get: key => runCall('get', {key}, () => table.get(key), false),
@@ -161,7 +171,8 @@
       async get(name) {
         const pending = relay({method: 'fetch', input: JSON.stringify({name})});
         if (!pending) return objects.get(name);
-        const bytes = (await awaitPeer(pending, false)) as string | undefined;
+        const bytes = (await awaitRelayed(pending, false)) as
+          string | undefined;
         return bytes === undefined ? undefined : Buffer.from(bytes, 'base64');
       },
       delete: name =>
@@ -177,8 +188,11 @@
   };
 }
 
-/** A call that was refused here, before it was sent, had no effect. */
-function isSent(error: unknown): boolean {
+/**
+ * Whether the call may have been sent. A call refused before it was sent had no
+ * effect.
+ */
+function isPossiblySent(error: unknown): boolean {
   const {cause} = error as {cause?: unknown};
   return !(cause instanceof PeerCallError) || cause.sent;
 }
--- a/src/instance/peers/stored_peer_key.ts
+++ b/src/instance/peers/stored_peer_key.ts
@@ -1,7 +1,8 @@
 /**
- * The key that peers share, kept in the table: the first instance of a fleet
- * makes it, all others read it. Whoever can read the fleet's store can read all
- * that the fleet keeps, so a key there gives nothing more away.
+ * The key that peers share, stored in the table. The first instance of a fleet
+ * creates it and all others read it. Whoever can read the fleet's store can
+ * already read everything that the fleet stores, so the key there discloses
+ * nothing more.
  */
 import {generateSecret} from '../../common/ids.js';
 import {buildPartition} from '../../stores/collections.js';
@@ -9,7 +10,10 @@
 
 const KEY = {partition: buildPartition('fleet'), sort: 'peer-key'};
 
-/** Reads the key, or makes it; throws StoreError without an answer. */
+/**
+ * Reads the key, or creates it if there is none. Throws StoreError if the store
+ * does not answer.
+ */
 export async function fetchPeerKey(table: TableStore): Promise<string> {
   for (;;) {
     const row = await table.get(KEY);
