--- a/src/instance/orders/orderer.ts
+++ b/src/instance/orders/orderer.ts
@@ -1,12 +1,14 @@
 /**
- * Which instance gives orders to engines: one at a time, under its lease row.
+ * Determines which instance may send orders to engines: one at a time, under
+ * its lease row.
  *
- * Failure it answers: an orderer is paused, another takes over and orders
- * something else, and the first wakes and orders what was wanted before.
- * Symptom: an engine serves the wrong model, and no one knows. Each orderer
- * has a fencing number, the version of the orderer's row, which an engine that
- * minds refuses once it has seen a higher one. For engines that do not mind, a
- * new orderer waits until orders of the one before can no longer arrive.
+ * Failure: an orderer is paused, another one takes over and sends different
+ * orders, and the first one resumes and sends an outdated order. The engine
+ * then serves the wrong model, and nobody notices. Therefore each orderer has a
+ * fencing number, the version of the orderer's row. An engine that enforces
+ * fencing refuses an order once it has seen a higher number. For engines that
+ * ignore fencing, a new orderer waits until orders of the previous one can no
+ * longer arrive.
  */
 import type {
   Row,
@@ -14,25 +16,34 @@
   WriteOperation,
 } from '../../stores/table_store.js';
 import type {InstanceLease, LeaseObserver} from '../members/instance_lease.js';
-import {ORDER_SETTLE_MS, ORDERER_KEY} from './constants.js';
+import {ORDER_SETTLE_TIME_MS, ORDERER_KEY} from './constants.js';
 
-/** The right to give orders. */
+/** The right to send orders. */
 export interface Orderer {
-  /** Takes the right if the one before has lost it; throws StoreError. */
+  /** Takes the right if the previous orderer has lost it. Throws StoreError. */
   acquire(now: number): Promise<void>;
-  /** The fencing number while this instance may order; undefined otherwise. */
+  /**
+   * The fencing number while this instance may send orders; otherwise
+   * undefined.
+   */
   findFencing(now: number): number | undefined;
-  /** Whether orders of the one before may still arrive. */
+  /** Whether orders of the previous orderer may still arrive. */
   isSettling(now: number): boolean;
-  /** Added to a transaction, makes it commit only for the orderer. */
+  /**
+   * Operations that let a transaction commit only if this instance is the
+   * orderer.
+   */
   buildChecks(): WriteOperation[];
-  /** Stops until the next `acquire`. */
+  /** Sends no more orders until the next `acquire`. */
   drop(): void;
-  /** Frees the row for another instance, once no order is under way. */
+  /**
+   * Makes the row available to other instances. Call it only when no order is
+   * in flight.
+   */
   release(): Promise<void>;
 }
 
-/** Starts without the right. */
+/** Creates an orderer that does not have the right yet. */
 export function createOrderer(
   table: TableStore,
   lease: InstanceLease,
@@ -46,10 +57,10 @@
   function noteOwned(row: {version: number}, now: number) {
     fencing = row.version;
     owner = lease.incarnation;
-    settleUntil = now + ORDER_SETTLE_MS;
+    settleUntil = now + ORDER_SETTLE_TIME_MS;
   }
 
-  function isMine(): boolean {
+  function isOwner(): boolean {
     return fencing !== undefined && owner === lease.incarnation;
   }
 
@@ -75,7 +86,7 @@
       const row = await table.get(ORDERER_KEY);
       const holder = String(row?.fields.owner ?? '');
       if (row && holder === lease.incarnation) {
-        // Also after a taking whose answer was lost.
+        // Reached also after a takeover whose response was lost.
         if (fencing !== row.version) noteOwned(row, now);
         return;
       }
@@ -83,7 +94,7 @@
       if (holder !== '' && !(await observer.checkOver(holder, now))) return;
       await takeRow(row, now);
     },
-    findFencing: now => (isMine() && lease.isHeld(now) ? fencing : undefined),
+    findFencing: now => (isOwner() && lease.isHeld(now) ? fencing : undefined),
     isSettling: now => now < settleUntil,
     buildChecks: () => [
       {
--- a/src/instance/orders/orders.test.ts
+++ b/src/instance/orders/orders.test.ts
@@ -15,9 +15,9 @@
   LEASE_RENEWAL_MS,
 } from '../members/instance_lease.js';
 import {
-  ORDER_SETTLE_MS,
+  ORDER_SETTLE_TIME_MS,
   ORDERS_INTERVAL_MS,
-  RECORDS_RELOAD_MS,
+  RECORDS_RELOAD_INTERVAL_MS,
   WEIGHT_LOADS_PER_ROUND,
 } from './constants.js';
 import {createOrders} from './orders.js';
@@ -30,7 +30,10 @@
 role = both
 `;
 
-/** Engines that note what reaches them, and instances that may order. */
+/**
+ * Creates engines that record the orders they receive, and instances that may
+ * send orders.
+ */
 function createOrderFleet(fencing: 'enforced' | 'ignored', engines = 2) {
   const clock = createVirtualClock();
   const platform = createMemoryPlatform(clock);
@@ -42,7 +45,7 @@
   );
   const ranking: string[] = [];
 
-  function takeOrder(
+  function receiveOrder(
     engine: string,
     by: string,
     order: EndpointOrder,
@@ -60,7 +63,7 @@
     const lease = createInstanceLease(platform.table, `run-of-${name}`);
     const member = {
       name,
-      /** Called before an order leaves; a pause or a failure. */
+      /** Called before an order is sent, to inject a pause or a failure. */
       onSend: async () => {},
       renew: () => lease.renew(clock.now()),
       orders: createOrders({
@@ -88,7 +91,7 @@
         },
         async sendOrder({endpoint}, order) {
           await member.onSend();
-          return takeOrder(endpoint.name, name, order);
+          return receiveOrder(endpoint.name, name, order);
         },
       }),
     };
@@ -96,7 +99,7 @@
     return member;
   }
 
-  /** Rounds of the given members until so much time has passed. */
+  /** Runs rounds of the given members for the given time. */
   async function runFor(
     ms: number,
     ...members: ReturnType<typeof createMember>[]
@@ -128,7 +131,7 @@
 }
 
 describe('orders', () => {
-  it('bring engines to what the document wants, step by step', async () => {
+  it('change an engine step by step to what the document specifies', async () => {
     const fleet = createOrderFleet('enforced', 1);
     const member = fleet.createMember('entry-1');
     await fleet.runFor(60_000, member);
@@ -150,9 +153,10 @@
     assert.equal(fleet.platform.counts.writes - writes, 1);
   });
 
-  it('do not stampede the weight store', async () => {
-    // A fleet that starts would have every engine fetch weights at once, and
-    // the store, which serves a few, would serve none in time.
+  it('do not overload the weight store', async () => {
+    // Guards against a fleet in which all engines fetch weights at the same
+    // time when it starts. The store can serve only a few at a time, and would
+    // serve none of them in time.
     const fleet = createOrderFleet('enforced', 40);
     fleet.endpoints.forEach((endpoint, at) => {
       endpoint.region = `region-${at % 8}`;
@@ -168,12 +172,13 @@
   });
 
   for (const fencing of ['enforced', 'ignored'] as const) {
-    it(`of an orderer paused past its lease do no harm, ${fencing}`, async () => {
-      // An engine would be brought back to an old version: the orderer is
-      // paused just before an order leaves, another takes over and orders the
-      // next version, and the first wakes. Engines that mind refuse its number;
-      // for the others the new one waits out orders on their way, and what a
-      // longer pause lets through is put right by its record.
+    it(`from an orderer paused past its lease do no lasting harm, fencing ${fencing}`, async () => {
+      // Guards against an engine that returns to an old version: the orderer is
+      // paused just before an order is sent, another one takes over and orders
+      // the next version, and the first one resumes. Engines that enforce
+      // fencing refuse its number. For the others, the new orderer waits until
+      // orders in flight can no longer arrive. An order that a longer pause
+      // lets through is corrected by means of its record.
       const fleet = createOrderFleet(fencing, 1);
       const first = fleet.createMember('entry-1');
       const second = fleet.createMember('entry-2');
@@ -183,8 +188,8 @@
         await fleet.runFor(120_000, old, next);
         fleet.received.length = 0;
         fleet.setModels(MODELS.replace('3', `${5 + 2 * round}`));
-        let wake = () => {};
-        const paused = new Promise<void>(resolve => (wake = resolve));
+        let resume = () => {};
+        const paused = new Promise<void>(resolve => (resume = resolve));
         old.onSend = () => paused;
         const pausedRound = old.orders.poll();
         await fleet.clock.advanceAsync(0);
@@ -195,15 +200,15 @@
         const early = fleet.received.length;
         if (fencing === 'ignored') assert.equal(early, 0);
         else assert.ok(early > 0);
-        await fleet.runFor(ORDER_SETTLE_MS + 60_000, next);
+        await fleet.runFor(ORDER_SETTLE_TIME_MS + 60_000, next);
         assert.ok(fleet.clock.now() > takenAt);
         const before = fleet.received.length;
-        wake();
+        resume();
         old.onSend = async () => {};
         await pausedRound.catch(() => {});
         const late = fleet.received.slice(before);
         assert.equal(late.length, fencing === 'enforced' ? 0 : 1);
-        await fleet.runFor(RECORDS_RELOAD_MS + 60_000, next);
+        await fleet.runFor(RECORDS_RELOAD_INTERVAL_MS + 60_000, next);
         const versions = fleet.received.filter(
           ({order}) => order.kind === 'set-version',
         );
@@ -216,10 +221,11 @@
     });
   }
 
-  it('are given again when their answer or their record is lost', async () => {
-    // The engine's state would be unknown for good: an order is on its way
-    // when the store loses an answer or the engine gives none. The record says
-    // that one is under way, and the next round starts that engine anew.
+  it('are sent again when their response or their record is lost', async () => {
+    // Guards against an engine whose state stays unknown forever: an order is
+    // in flight when the store loses a response, or the engine does not
+    // respond. The record shows that an order may be in flight, and the next
+    // round starts that engine again.
     for (const lost of ['record', 'order', 'record']) {
       const fleet = createOrderFleet('enforced', 1);
       const member = fleet.createMember('entry-1');
@@ -239,7 +245,7 @@
     }
   });
 
-  it('pass to the instance that ranks first', async () => {
+  it('move to the instance that ranks first', async () => {
     const fleet = createOrderFleet('enforced', 1);
     const first = fleet.createMember('entry-1');
     const second = fleet.createMember('entry-2');
@@ -288,12 +294,12 @@
     return counts;
   };
 
-  it('gives counted models their engines and shares the rest', () => {
+  it('assigns fixed numbers of engines first and shares the rest', () => {
     const assigned = placeModels(document, endpoints, () => EMPTY_PLACEMENT);
     assert.deepEqual(count(assigned), {big: 3, left: 4, right: 3});
   });
 
-  it('moves no engine that can stay, when one is lost', () => {
+  it('moves no engine that can stay when another one is lost', () => {
     const before = placeModels(document, endpoints, () => EMPTY_PLACEMENT);
     const gone = endpoints.findIndex(
       ({name}) => before.get(name)?.model === 'left',
--- a/src/instance/orders/orders.ts
+++ b/src/instance/orders/orders.ts
@@ -1,7 +1,8 @@
 /**
- * Brings the engines to what the service documents want: which model, version,
- * adapters and role, where. One instance of the fleet does it, the one that
- * ranks first; the others cost nothing but the ranking.
+ * Sends orders to the engines until they run what the service documents
+ * specify: which model, version, adapters and role, in which region. Only the
+ * instance that ranks first in the fleet does this. For all others the only
+ * cost is the ranking.
  */
 import type {Clock} from '../../common/clock.js';
 import type {Metrics} from '../../common/metrics.js';
@@ -14,7 +15,7 @@
   type InstanceLease,
 } from '../members/instance_lease.js';
 import type {Members} from '../members/members.js';
-import {RECORDS_RELOAD_MS} from './constants.js';
+import {RECORDS_RELOAD_INTERVAL_MS} from './constants.js';
 import {createOrderer} from './orderer.js';
 import {
   placeModels,
@@ -25,10 +26,9 @@
 } from './placement.js';
 import {createPlacementRecords} from './placement_records.js';
 
-/** Key of the ranking that names the orderer. */
+/** Ranking key that selects the orderer. */
 const RANKING_KEY = 'orders';
 
-/** What orders work with. */
 export interface OrdersDependencies {
   clock: Clock;
   table: TableStore;
@@ -40,15 +40,17 @@
   planOrders?: PlanOrders;
 }
 
-/** The orders of this instance. */
+/** The part of an instance that sends orders. */
 export interface Orders extends StateSource {
-  /** One round; throws StoreError when the table gives no answer. */
+  /** Runs one round. Throws StoreError if the table does not answer. */
   poll(): Promise<void>;
-  /** Lets another instance order; call it when no round runs. */
+  /**
+   * Lets another instance send orders. Call it only when no round is running.
+   */
   release(): Promise<void>;
 }
 
-/** Starts without the right to order. */
+/** Creates orders without the right to send them. */
 export function createOrders(dependencies: OrdersDependencies): Orders {
   const {clock, table, lease, members, configuration, sendOrder} = dependencies;
   const planOrders = dependencies.planOrders ?? planByDocument;
@@ -120,7 +122,7 @@
     if (loadedFor !== fencing || clock.now() >= reloadAt) {
       await records.load();
       loadedFor = fencing;
-      reloadAt = clock.now() + RECORDS_RELOAD_MS;
+      reloadAt = clock.now() + RECORDS_RELOAD_INTERVAL_MS;
     }
     const placed = listPlaced(clock.now());
     waiting = placed.length;
@@ -141,7 +143,8 @@
         const fencing = orderer.findFencing(clock.now());
         if (fencing !== undefined) await runRound(fencing);
       } catch (error) {
-        // A record may have been written: read all again before going on.
+        // A record may have been written although the call failed, so the next
+        // round reads all records again.
         loadedFor = undefined;
         throw error;
       }
@@ -150,7 +153,7 @@
       try {
         await orderer.release();
       } catch (error) {
-        // Its lease runs out: then the next orderer may go on.
+        // The lease expires anyway, and then the next orderer can take over.
         if (!(error instanceof StoreError)) throw error;
       }
     },
--- a/src/instance/orders/placement.ts
+++ b/src/instance/orders/placement.ts
@@ -1,7 +1,7 @@
 /**
- * What each engine should run, by the service documents, and the next orders
- * that bring the engines there. Pure; a decision that weighs demand can take
- * its place as another PlanOrders.
+ * Computes what each engine should run according to the service documents, and
+ * the next orders that lead there. Has no side effects. A decision that takes
+ * demand into account can replace it as another PlanOrders.
  */
 import {rankByRendezvous} from '../../decisions/instance_ranking.js';
 import type {ListedInstance} from '../../stores/instance_list.js';
@@ -9,7 +9,7 @@
 import type {EndpointOrder} from '../endpoints/endpoint_adapter.js';
 import {WEIGHT_LOADS_PER_POOL, WEIGHT_LOADS_PER_ROUND} from './constants.js';
 
-/** What an engine runs, or should. */
+/** What an engine runs, or should run. */
 export interface Placement {
   model: string;
   version: string;
@@ -17,7 +17,7 @@
   role: string;
 }
 
-/** An engine, what it was ordered to run, and what it should. */
+/** An engine, what it was ordered to run, and what it should run. */
 export interface PlacedEndpoint {
   endpoint: ListedInstance;
   document: ServiceDocument;
@@ -25,7 +25,7 @@
   wanted: Placement;
 }
 
-/** One order, and what the engine runs once it has taken it. */
+/** One order, and what the engine runs after it has accepted the order. */
 export interface PlannedOrder {
   endpoint: ListedInstance;
   document: ServiceDocument;
@@ -34,12 +34,12 @@
   result: Placement;
 }
 
-/** Chooses the orders of one round. */
+/** Selects the orders of one round. */
 export type PlanOrders = (
   endpoints: readonly PlacedEndpoint[],
 ) => PlannedOrder[];
 
-/** An engine of which nothing is known. */
+/** The placement of an engine of which nothing is known. */
 export const EMPTY_PLACEMENT: Placement = {
   model: '',
   version: '',
@@ -50,9 +50,9 @@
 type ModelSection = ServiceDocument['model'][string];
 
 /**
- * Assigns a model to each engine of a service, region by region: first the
- * models that want a number of engines, then the others share what is left.
- * An engine keeps its model where it can: a move fetches weights.
+ * Assigns a model to each engine of a service, region by region. Models that
+ * specify a number of engines come first, and the others share the rest. An
+ * engine keeps its model where possible, because a move makes it fetch weights.
  */
 export function placeModels(
   document: ServiceDocument,
@@ -85,7 +85,9 @@
   return assigned;
 }
 
-/** Engines that hold the model first, then by a ranking that seldom changes. */
+/**
+ * Ranks engines that hold the model first, and the others in a stable order.
+ */
 function rankForModel(
   model: string,
   endpoints: readonly ListedInstance[],
@@ -106,12 +108,14 @@
 interface OrderStep {
   kind: EndpointOrder['kind'];
   name: string;
-  /** Whether the engine fetches weights for it. */
+  /** Whether the engine fetches weights to carry out the order. */
   fetchesWeights: boolean;
   result: Placement;
 }
 
-/** The next step of one engine; undefined when it runs what it should. */
+/**
+ * The next step of one engine, or undefined if it already runs what it should.
+ */
 export function findNextStep(
   held: Placement,
   wanted: Placement,
@@ -142,7 +146,7 @@
   return {kind: 'set-role', name: role, fetchesWeights: false, result};
 }
 
-/** One step for each engine, within the bounds on weight loads. */
+/** Plans one step per engine, within the limits on weight loads. */
 export const planOrders: PlanOrders = endpoints => {
   const loadsByPool = new Map<string, number>();
   let loads = 0;
--- a/src/instance/orders/placement_records.ts
+++ b/src/instance/orders/placement_records.ts
@@ -1,7 +1,7 @@
 /**
- * What each engine was ordered to run: one row for each. It is written before
- * an order (`ordering`) and after it (`held`), so that whoever comes next knows
- * of an order that may be under way.
+ * Records what each engine was ordered to run, in one row per engine. The row
+ * is written before an order (`ordering`) and after it (`held`), so that the
+ * next orderer learns of an order that may be in flight.
  */
 import * as z from 'zod';
 import type {ListedInstance} from '../../stores/instance_list.js';
@@ -10,8 +10,11 @@
 import type {Orderer} from './orderer.js';
 import {EMPTY_PLACEMENT, type Placement} from './placement.js';
 
-/** Writes tried against an orderer that writes the same row. */
-const UNCLEAR_TRIES = 5;
+/**
+ * Maximum number of attempts at a write that conflicts with another orderer's
+ * writes to the same row.
+ */
+const MAX_WRITE_ATTEMPTS = 5;
 
 const placementSchema = z.object({
   model: z.string(),
@@ -20,26 +23,35 @@
   role: z.string(),
 });
 
-/** The records as the orderer holds them. */
+/** The records as the orderer knows them. */
 export interface PlacementRecords {
-  /** Reads all; throws StoreError. */
+  /** Reads all records. Throws StoreError. */
   load(): Promise<void>;
-  /** What the engine is known to run: nothing while an order is unclear. */
+  /**
+   * What the engine is known to run. Nothing is known while the outcome of an
+   * order is unclear.
+   */
   getHeld(endpoint: ListedInstance): Placement;
-  /** Notes an order that is about to be sent; false: not the orderer. */
+  /**
+   * Records that an order is about to be sent. Returns false if this instance
+   * is not the orderer.
+   */
   noteOrdering(endpoint: ListedInstance): Promise<boolean>;
   /**
-   * Notes that an order of this instance may have reached the engine after the
-   * right to order was lost. The orderer finds the row changed and begins anew
-   * with that engine; without it, a late order on an engine that ignores
-   * fencing would stay unnoticed for good.
+   * Records that an order of this instance may have reached the engine after
+   * the instance lost the right to send orders. The current orderer finds the
+   * row changed and starts again with that engine. Without this, a late order
+   * to an engine that ignores fencing would never be noticed.
    */
   noteUnclear(endpoint: ListedInstance): Promise<void>;
-  /** Notes what the engine runs now; false: not the orderer. */
+  /**
+   * Records what the engine runs now. Returns false if this instance is not the
+   * orderer.
+   */
   noteHeld(endpoint: ListedInstance, placement: Placement): Promise<boolean>;
 }
 
-/** Starts without records; `load` reads them. */
+/** Creates records that are empty until `load` reads them. */
 export function createPlacementRecords(
   table: TableStore,
   orderer: Orderer,
@@ -70,7 +82,7 @@
 
   async function markUnclear({name, address}: ListedInstance) {
     const key = {partition: PLACEMENTS_PARTITION, sort: name};
-    for (let tries = 0; tries < UNCLEAR_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
       const row = await table.get(key);
       if (!row) return;
       const placement = JSON.stringify(EMPTY_PLACEMENT);
@@ -94,7 +106,8 @@
     },
     getHeld({name, address}) {
       const fields = rows.get(name)?.fields;
-      // Under another address it is another engine, which holds nothing.
+      // An engine under another address is a different one, of which nothing is
+      // known.
       if (fields?.state !== 'held' || fields.address !== address) {
         return EMPTY_PLACEMENT;
       }
--- a/src/instance/peers/call_bounds.ts
+++ b/src/instance/peers/call_bounds.ts
@@ -35,7 +35,10 @@
     ({next, op}) =>
       observable(observer => {
         if (inFlight >= MAX_CALLS_IN_FLIGHT) {
-          const error = new PeerCallError('too many calls in flight to this peer', false);
+          const error = new PeerCallError(
+            'too many calls in flight to this peer',
+            false,
+          );
           observer.error(TRPCClientError.from(error));
           return;
         }
--- a/src/instance/routing/routing_document.ts
+++ b/src/instance/routing/routing_document.ts
@@ -1,49 +1,57 @@
 /**
- * What the gateway serves: routes, accounts and bounds on callers, as one
- * document with a version. Instances pass it on to each other, so it is a
- * schema; keys are in it as hashes only.
+ * What the gateway serves: routes, accounts and limits on callers, as one
+ * document with a version. It has a schema because instances send it to each
+ * other. It contains keys only as hashes.
  */
 import * as z from 'zod';
 
-/** What may be done with a request whose answer did not come. */
+/** What may be done with a request whose response was lost. */
 export const repeatRuleSchema = z.enum([
   /** It may run any number of times. */
   'idempotent',
-  /** It runs once at most. */
+  /** It may run at most once. */
   'once',
-  /** Its stream may be taken up elsewhere after the last whole event. */
+  /**
+   * Its stream may be resumed on another endpoint after the last complete
+   * event.
+   */
   'resumable',
 ]);
 
 const routeSchema = z.object({
   name: z.string(),
   host: z.string(),
-  /** Begins and ends with a slash; the longest that begins the path wins. */
+  /**
+   * Begins and ends with a slash. The longest prefix that matches the path
+   * wins.
+   */
   pathPrefix: z.string(),
   form: z.enum(['call', 'stream', 'bundle']),
   repeat: repeatRuleSchema,
   /** Services that share the route's requests. */
   targets: z.array(z.object({service: z.string(), weight: z.number()})).min(1),
-  /** Endpoints that one request may run on. */
+  /** Maximum number of endpoints on which one request may be attempted. */
   maxAttempts: z.number(),
   /** Longest time from a request's arrival to its end, in ms. */
   timeoutMs: z.number(),
-  /** Response-time objective: first event or whole answer, in ms. */
+  /** Latency target for the first event or the complete response, in ms. */
   targetMs: z.number(),
   /**
-   * Streams: callers leave after so long without an event, before the first one
-   * too, in ms; 0 where that is not known.
+   * Streams: callers disconnect after this long without an event, also before
+   * the first one, in ms. 0 if unknown.
    */
   eventPatienceMs: z.number(),
-  /** 0 is served first. */
+  /** Rank 0 is served first. */
   rank: z.number(),
   /** Whether requests need no key. */
   isPublic: z.boolean(),
-  /** Bundles: results are due so long after submission, in ms. */
+  /** Bundles: results are due this long after submission, in ms. */
   dueMs: z.number(),
-  /** Bundles: tokens that one account may have waiting; 0 means no bound. */
+  /**
+   * Bundles: maximum number of waiting tokens of one account; 0 means no limit.
+   */
   maxWaitingTokens: z.number(),
-  /** Bundles: an item may be given up so long after submission, in ms. */
+  /** Bundles: an item may be given up this long after submission, in ms. */
   itemLifetimeMs: z.number(),
 });
 
@@ -51,9 +59,9 @@
   name: z.string(),
   /** SHA-256 of each key, in hexadecimal. */
   keyHashes: z.array(z.string()),
-  /** Requests a second over the whole fleet; 0 means no limit. */
+  /** Requests per second over the whole fleet; 0 means no limit. */
   ratePerS: z.number(),
-  /** Requests at once after a pause. */
+  /** Number of requests allowed at once after a pause. */
   burst: z.number(),
 });
 
@@ -66,11 +74,14 @@
 
 const serviceSchema = z.object({
   name: z.string(),
-  /** Requests one endpoint runs at once, where endpoints do not say. */
+  /**
+   * Maximum number of concurrent requests on one endpoint, if endpoints do not
+   * report their own.
+   */
   maxConcurrency: z.number(),
 });
 
-/** Schema of a version of the document. */
+/** Schema of one version of the document. */
 export const routingDocumentSchema = z.object({
   version: z.number(),
   routes: z.array(routeSchema),
@@ -81,9 +92,9 @@
 
 /** One version of the document. */
 export type RoutingDocument = z.infer<typeof routingDocumentSchema>;
-/** A route of it. */
+/** A route of the document. */
 export type Route = z.infer<typeof routeSchema>;
-/** An account of it. */
+/** An account of the document. */
 export type RoutingAccount = z.infer<typeof accountSchema>;
-/** What callers may send, and how slowly. */
+/** Limits on the size and slowness of callers' requests. */
 export type CallerBounds = z.infer<typeof callerBoundsSchema>;
--- a/src/instance/routing/routing_sync.ts
+++ b/src/instance/routing/routing_sync.ts
@@ -1,7 +1,7 @@
 /**
- * Passes routing documents between instances, so that one that is cut off from
- * the store still follows. Heartbeats carry the version each peer has; a peer
- * with a higher one is asked for it.
+ * Relays routing documents between instances, so that an instance without store
+ * access still follows changes. Heartbeats contain the version that each peer
+ * has. An instance fetches the document from a peer that has a higher version.
  */
 import * as z from 'zod';
 import type {ListedInstance} from '../../stores/instance_list.js';
@@ -15,10 +15,10 @@
 
 const fetchSchema = z.strictObject({after: z.number()});
 
-/** Procedures that other instances call on this one's routing. */
+/** Procedures of this instance's routing that other instances call. */
 export function buildRoutingRouter(routing: RoutingTable) {
   return buildPeerRouterOf({
-    /** The document, when it is newer than `after`. */
+    /** Returns the document if it is newer than `after`. */
     fetch: peerProcedure.input(fetchSchema).query(({input}) => {
       const isNewer = routing.getVersion() > input.after;
       return {document: isNewer ? routing.getDocument() : undefined};
@@ -26,13 +26,16 @@
   });
 }
 
-/** Asks one peer for a document newer than `after`. */
+/** Requests a document newer than `after` from one peer. */
 export type RoutingFetcher = (
   peer: ListedInstance,
   after: number,
 ) => Promise<{document?: RoutingDocument}>;
 
-/** Fetches a newer document from a peer that reported one, if any did. */
+/**
+ * Fetches a newer document from a peer that reported one, if there is any.
+ * Returns whether it was applied.
+ */
 export async function fetchNewerRouting(
   routing: RoutingTable,
   members: Pick<Members, 'listWitnessReports' | 'find'>,
--- a/src/instance/routing/routing_table.ts
+++ b/src/instance/routing/routing_table.ts
@@ -1,4 +1,7 @@
-/** The version of the routing document in force here, indexed for look-up. */
+/**
+ * The active version of the routing document on this instance, indexed for
+ * lookups.
+ */
 import {groupBy} from '../../common/collections.js';
 import type {StateSource} from '../../common/state_dump.js';
 import type {
@@ -7,28 +10,35 @@
   RoutingDocument,
 } from './routing_document.js';
 
-/** Looks routes and accounts up. A lower version never replaces a higher. */
+/**
+ * Looks up routes and accounts. A lower version never replaces a higher one.
+ */
 export interface RoutingTable extends StateSource {
   /** Undefined until a first version is known. */
   getDocument(): RoutingDocument | undefined;
   /** 0 until a first version is known. */
   getVersion(): number;
   findRoute(host: string, path: string): Route | undefined;
-  /** The account that holds a key. */
+  /** The account that a key belongs to. */
   findAccountByKey(keyHash: string): RoutingAccount | undefined;
   findAccount(name: string): RoutingAccount | undefined;
-  /** A bundle's route by its name, while it is there. */
+  /**
+   * The route with this name, or undefined if the current document has none.
+   */
   findRouteByName(name: string): Route | undefined;
-  /** Concurrency of a service's endpoints; undefined when it is unknown. */
+  /**
+   * Maximum concurrency of a service's endpoints, or undefined if it is
+   * unknown.
+   */
   findConcurrency(service: string): number | undefined;
   listServices(): string[];
-  /** Returns whether the document is newer and now in force. */
+  /** Applies the document if it is newer. Returns whether it was applied. */
   apply(document: RoutingDocument): boolean;
-  /** Told after each change. */
+  /** Calls the listener after each change. */
   subscribe(listener: (document: RoutingDocument) => void): void;
 }
 
-/** Starts without a document. */
+/** Creates a table without a document. */
 export function createRoutingTable(): RoutingTable {
   let document: RoutingDocument | undefined;
   let routesByHost = new Map<string, Route[]>();
@@ -68,8 +78,8 @@
     findConcurrency: service => concurrency.get(service),
     listServices: () => [...concurrency.keys()],
     apply(next) {
-      // An answer that was on its way while a newer version came would
-      // otherwise bring back routes and keys that were taken away.
+      // A response that was delayed while a newer version arrived would
+      // otherwise restore routes and keys that were removed.
       if (document && next.version <= document.version) return false;
       document = next;
       buildIndexes(next);
