--- a/src/instance/keys/key_admin.ts
+++ b/src/instance/keys/key_admin.ts
@@ -1,4 +1,6 @@
-/** Gives, withdraws and lists client account keys in the platform's table. */
+/**
+ * Gives, withdraws and lists keys of client accounts in the platform's table.
+ */
 import {generateId, generateSecret, hashText} from '../../common/ids.js';
 import {
   StoreError,
@@ -13,25 +15,28 @@
 import type {KeyChange} from '../configuration/changes.js';
 import {KEYS_PARTITION} from '../configuration/constants.js';
 
-/** A key that was given. The secret is shown once and kept nowhere. */
+/** A new key. Its secret is shown once and not stored anywhere. */
 export interface GivenKey {
   keyId: string;
   secret: string;
   generation: number;
 }
 
-/** A key that was withdrawn, and the change that every instance must take in. */
+/**
+ * A withdrawn key, with the generation of the change that every instance has to
+ * apply.
+ */
 export interface WithdrawnKey {
   keyId: string;
   account: string;
   generation: number;
-  /** Whether it had been withdrawn before. */
+  /** Whether it was already withdrawn before. */
   already: boolean;
 }
 
 /**
- * Issues a key. Throws StoreError; when its effect is unknown, the key may
- * exist though nobody holds its secret: `listKeys` shows it.
+ * Creates a key. Throws StoreError. If the effect of the write is unknown, the
+ * key may exist although nobody has its secret: `listKeys` shows it.
  */
 export async function giveKey(
   table: TableStore,
@@ -56,8 +61,8 @@
 }
 
 /**
- * Revokes a key by its id; undefined when there is none. Withdrawing it again
- * is harmless, and is the thing to do after a StoreError.
+ * Withdraws a key by its ID. Returns undefined if there is none. Withdrawing it
+ * again does no harm, and should be done after a StoreError.
  */
 export async function withdrawKey(
   table: TableStore,
@@ -79,11 +84,12 @@
   if (outcome.kind === 'committed') {
     return {keyId, account, generation: outcome.generation, already: false};
   }
-  // Another operator was faster; the key's only way on is to be withdrawn.
+  // Another operator changed the key first. The only change of a valid key is
+  // its withdrawal, so the retry finds it withdrawn.
   return withdrawKey(table, keyId);
 }
 
-/** Every key, withdrawn ones included, by account. */
+/** All keys, withdrawn ones included, ordered by account. */
 export async function listKeys(table: TableStore): Promise<KeyChange[]> {
   const keys = (await table.query(KEYS_PARTITION)).map(toKeyChange);
   return keys.sort((a, b) =>
--- a/src/instance/keys/key_directory.ts
+++ b/src/instance/keys/key_directory.ts
@@ -1,7 +1,7 @@
 /**
- * Client account keys, held only as hashes. A key is looked up on each request
- * and once more when a queued request is about to run, so that a withdrawn key
- * stops working on connections that are already open.
+ * The keys of client accounts, stored only as hashes. A key is looked up on
+ * each request, and again when a queued request is about to run, so that a
+ * withdrawn key stops working on connections that are already open.
  */
 import {hashText} from '../../common/ids.js';
 import type {StateSource} from '../../common/state_dump.js';
@@ -10,37 +10,38 @@
 
 export {giveKey, withdrawKey, listKeys} from './key_admin.js';
 
-/** Whose key it is. The hash identifies the key in later checks. */
+/** The owner of a key. The hash identifies the key in later checks. */
 export interface KeyOwner {
   account: string;
   keyId: string;
   keyHash: string;
 }
 
-/** What the directory says of a key. */
+/** Result of looking up a key. */
 export type KeyVerdict =
   | {kind: 'valid'; owner: KeyOwner}
   | {kind: 'unknown'}
   /** This instance cannot tell whether the key was withdrawn. */
   | {kind: 'isolated'};
 
-/** The keys in force here. */
+/** The active keys on this instance. */
 export interface KeyDirectory extends StateSource {
-  /** Looks up the secret a caller presented. */
+  /** Looks up the key that a caller sent. */
   authenticate(secret: string, now: number): KeyVerdict;
   /**
-   * Looks up a key that was valid before, for a request to `service`. Without
-   * a service, doubt serves if any service of the account serves in doubt.
+   * Looks up a key that was valid before, for a request to `service`. If no
+   * service is given, the key is accepted in doubt if any service of the
+   * account serves in doubt.
    */
   check(keyHash: string, now: number, service?: string): KeyVerdict;
-  /** Why this instance should get no callers; undefined when it should. */
+  /** Why this instance should not receive callers; undefined if it should. */
   describeUnready(now: number): string | undefined;
 }
 
-/** Decides by how sure the instance is; see confidence.ts. */
+/** Returns how sure the instance is about withdrawn keys; see confidence.ts. */
 export type ConfidenceSource = (now: number) => Confidence;
 
-/** Looks keys up in `configuration`. */
+/** Creates a directory that looks up keys in `configuration`. */
 export function createKeyDirectory(
   configuration: Configuration,
   getConfidence: ConfidenceSource = () => 'confirmed',
@@ -71,7 +72,8 @@
     const key = configuration.findKey(keyHash);
     const confidence = getConfidence(now);
     if (!key) {
-      // It may have been given where this instance cannot see.
+      // The key may have been given while this instance could not read the
+      // table.
       return {kind: confidence === 'confirmed' ? 'unknown' : 'isolated'};
     }
     if (key.state === 'withdrawn') return {kind: 'unknown'};
@@ -80,7 +82,7 @@
     return {kind: 'valid', owner: {account, keyId, keyHash}};
   }
 
-  /** In doubt an instance is of use if some service serves in doubt. */
+  /** In doubt, an instance is still useful if some service serves in doubt. */
   function isUseful(confidence: Confidence): boolean {
     if (confidence !== 'doubt') return confidence !== 'isolated';
     return configuration
--- a/src/instance/keys/keys.test.ts
+++ b/src/instance/keys/keys.test.ts
@@ -15,12 +15,12 @@
 import {giveKey, listKeys, withdrawKey, type GivenKey} from './key_admin.js';
 
 const DOMAINS = ['klang-a', 'klang-b', 'penang-a', 'johor-a'];
-const TWICE = [...DOMAINS, ...DOMAINS];
+const TWO_PER_DOMAIN = [...DOMAINS, ...DOMAINS];
 const SERVE_IN_DOUBT = `${ENGINE_DOCUMENT}\n[isolation]\ndoubt = serve\n`;
 
-/** A fleet with a key in force everywhere. */
+/** Creates a fleet with a key that is active on all instances. */
 async function createKeyedFleet(document = ENGINE_DOCUMENT) {
-  const fleet = createConfigurationFleet(TWICE);
+  const fleet = createConfigurationFleet(TWO_PER_DOMAIN);
   const {table} = fleet.platform;
   await applyServiceDocument(table, document, 'ana');
   const key = await giveKey(table, 'gate');
@@ -37,7 +37,7 @@
   return instances.map(({keys}) => keys.authenticate(secret, clock.now()).kind);
 }
 
-/** A cut that begins or ends, and the time until the next. */
+/** The begin or end of a cut, and the time until the next event. */
 interface CutEvent {
   instance: number;
   cut: 'cutFromStore' | 'cutFromPeers';
@@ -45,7 +45,7 @@
   waitMs: number;
 }
 
-/** Verdict of one instance after so long. */
+/** Waits, then returns the verdict of one instance on the key. */
 async function awaitVerdict(
   {clock}: ConfigurationFleet,
   {keys}: ConfiguredInstance,
@@ -56,24 +56,24 @@
   return keys.authenticate(secret, clock.now()).kind;
 }
 
-function listSame(kind: string): string[] {
-  return TWICE.map(() => kind);
+function listForAll(kind: string): string[] {
+  return TWO_PER_DOMAIN.map(() => kind);
 }
 
 describe('keys', () => {
-  it('work and stop working everywhere within three seconds', async () => {
+  it('start and stop working on all instances within three seconds', async () => {
     const fleet = await createKeyedFleet();
-    assert.deepEqual(listVerdicts(fleet, fleet.key), listSame('valid'));
+    assert.deepEqual(listVerdicts(fleet, fleet.key), listForAll('valid'));
     const withdrawn = await withdrawKey(fleet.table, fleet.key.keyId);
     assert.equal(withdrawn?.account, 'gate');
     await fleet.clock.advanceAsync(CONFIRMATION_LIMIT_MS);
-    assert.deepEqual(listVerdicts(fleet, fleet.key), listSame('unknown'));
+    assert.deepEqual(listVerdicts(fleet, fleet.key), listForAll('unknown'));
     const again = await withdrawKey(fleet.table, fleet.key.keyId);
     assert.equal(again?.already, true);
     assert.equal(await withdrawKey(fleet.table, 'key-of-nobody'), undefined);
   });
 
-  it('are stored as hashes alone', async () => {
+  it('are stored only as hashes', async () => {
     const {table, key} = await createKeyedFleet();
     const stored = JSON.stringify([
       await table.query('keys'),
@@ -87,9 +87,10 @@
     ['give', 'withdraw'],
     ['withdraw', 'give'],
   ]) {
-    it(`are found when answers are lost, ${kinds[0]} first`, async () => {
-      // The operator would hold no secret of a key that exists, or be told
-      // that there is no such key: the write commits, its answer is lost.
+    it(`are found when responses are lost, ${kinds[0]} first`, async () => {
+      // Guards against an operator who has no secret of a key that exists, or
+      // who is told that an existing key does not exist: the write commits and
+      // its response is lost.
       const {table, faults} = createMemoryPlatform();
       for (let round = 0; round < 2; round++) {
         const old = await giveKey(table, 'planner');
@@ -116,7 +117,7 @@
     });
   }
 
-  it('are withdrawn once by racing operators', async () => {
+  it('are withdrawn once by concurrent operators', async () => {
     const {table} = createMemoryPlatform();
     const key = await giveKey(table, 'gate');
     const outcomes = await Promise.all(
@@ -128,15 +129,16 @@
 });
 
 describe('isolation', () => {
-  it('serves on while the store is out for all', async () => {
-    // Callers of the whole fleet would be refused for as long as the platform
-    // is out. Every failure domain says that it reads no table: then nothing
-    // can be withdrawn, and serving on is safe.
+  it('continues to serve while the store is unavailable to all instances', async () => {
+    // Guards against refusing all callers of the fleet for as long as the
+    // platform is unavailable. Every failure domain reports that it cannot read
+    // the table. Then no key can be withdrawn, and it is safe to continue
+    // serving.
     const fleet = await createKeyedFleet();
     fleet.platform.faults.down = true;
     for (let second = 0; second < 60; second++) {
       await fleet.clock.advanceAsync(1000);
-      assert.deepEqual(listVerdicts(fleet, fleet.key), listSame('valid'));
+      assert.deepEqual(listVerdicts(fleet, fleet.key), listForAll('valid'));
     }
     assert.equal(
       fleet.instances[0].keys.describeUnready(fleet.clock.now()),
@@ -146,23 +148,24 @@
     assert.ok(asked <= 2 * DOMAINS.length, `${asked} calls a second`);
   });
 
-  it('serves on while the store is silent for all', async () => {
-    // A store that answers nothing at all would be waited for, and the
-    // witnesses asked only afterwards: every caller of the fleet would be
-    // refused for the first seconds of the outage. They are asked meanwhile.
+  it('continues to serve while the store does not respond to any instance', async () => {
+    // Guards against refusing all callers during the first seconds of an
+    // outage, because instances wait for a silent store before they ask the
+    // witnesses. The witnesses are asked in the meantime.
     const fleet = await createKeyedFleet();
     fleet.platform.faults.slowMs = 60_000;
     for (let step = 0; step < 40; step++) {
       await fleet.clock.advanceAsync(250);
-      assert.deepEqual(listVerdicts(fleet, fleet.key), listSame('valid'));
+      assert.deepEqual(listVerdicts(fleet, fleet.key), listForAll('valid'));
     }
   });
 
-  describe('with instances lost in an outage for all', () => {
-    // Callers were refused by turns. The store is out, instances die and are
-    // still listed, and calls to them hang. To those who wait for them their
-    // domain is silent, which looks like a cut; to the neighbour of a lost one
-    // its own domain always is.
+  describe('with instances lost during an outage for all instances', () => {
+    // Guards against refused callers on changing instances. The store is
+    // unavailable, some instances are dead but still listed, and calls to them
+    // hang. An instance that waits for such a call considers the dead
+    // instance's domain silent, which looks like a network partition. For the
+    // only neighbour of a dead instance, its own domain is always silent.
     async function checkServing(
       fleet: KeyedFleet,
       lost: ReadonlySet<ConfiguredInstance>,
@@ -178,12 +181,12 @@
       }
     }
 
-    it('serves on beside one of each of two domains', async () => {
+    it('continues to serve after the loss of one instance in each of two domains', async () => {
       const fleet = await createKeyedFleet();
       await checkServing(fleet, new Set(fleet.instances.slice(0, 2)));
     });
 
-    it('serves on beside a rack of one domain, once it is suspected', async () => {
+    it('continues to serve after the loss of a rack, once its instances are suspected', async () => {
       const fleet = await createKeyedFleet();
       fleet.startInstance(DOMAINS[0], 50);
       await fleet.clock.advanceAsync(2000);
@@ -196,10 +199,10 @@
     });
   });
 
-  it('refuses where neither the store nor a peer answers', async () => {
-    // A withdrawn key would work for good on an instance that sees nothing
-    // and nobody. It refuses, says that it is isolated, and is of use again
-    // as soon as it can ask.
+  it('refuses when neither the store nor a peer answers', async () => {
+    // Guards against a withdrawn key that works forever on an instance that
+    // reaches neither the store nor a peer. The instance refuses, reports that
+    // it is isolated, and serves again as soon as a peer answers.
     const fleet = await createKeyedFleet(SERVE_IN_DOUBT);
     const [cut] = fleet.instances;
     cut.cutFromStore = true;
@@ -216,28 +219,29 @@
     assert.equal(cut.keys.describeUnready(fleet.clock.now()), undefined);
   });
 
-  it('learns of a withdrawal through peers where a cut hides the store', async () => {
-    // Both instances of one domain lose the table, and each other's answers
-    // say so; the other domains read it and pass the withdrawal on.
+  it('learns of a withdrawal from peers when it has no store access', async () => {
+    // Both instances of one domain lose access to the table, and report so to
+    // each other. The other domains read it and relay the withdrawal.
     const fleet = await createKeyedFleet();
     const cut = fleet.instances.filter(
       ({failureDomain}) => failureDomain === 'klang-a',
     );
     for (const instance of cut) instance.cutFromStore = true;
     await fleet.clock.advanceAsync(10_000);
-    assert.deepEqual(listVerdicts(fleet, fleet.key), listSame('valid'));
+    assert.deepEqual(listVerdicts(fleet, fleet.key), listForAll('valid'));
     await withdrawKey(fleet.table, fleet.key.keyId);
     await fleet.clock.advanceAsync(CONFIRMATION_LIMIT_MS);
-    assert.deepEqual(listVerdicts(fleet, fleet.key), listSame('unknown'));
+    assert.deepEqual(listVerdicts(fleet, fleet.key), listForAll('unknown'));
   });
 
   for (const [doubt, document, verdict] of [
     ['refuse', ENGINE_DOCUMENT, 'isolated'],
     ['serve', SERVE_IN_DOUBT, 'valid'],
   ]) {
-    it(`in doubt does what the service says: ${doubt}`, async () => {
-      // The store is out for those who answer, and one failure domain is
-      // silent: it may still read a withdrawal that nobody else can see.
+    it(`follows the service document in doubt: ${doubt}`, async () => {
+      // The store is unavailable to all instances that answer, and one failure
+      // domain is silent. It may still read a withdrawal that nobody else can
+      // see.
       const fleet = await createKeyedFleet(document);
       fleet.platform.faults.down = true;
       for (const instance of fleet.instances) {
@@ -254,9 +258,10 @@
   }
 
   for (const order of ['table first', 'peers first']) {
-    it(`withdraws after an outage, ${order}`, async () => {
-      // A key withdrawn as soon as the store is back must not live on where
-      // the store is seen last: one instance stays cut off and hears it.
+    it(`applies a withdrawal after an outage, ${order}`, async () => {
+      // Guards against a key that is withdrawn right after an outage and still
+      // works on the instance that regains store access last: one instance
+      // stays cut off and learns of the withdrawal from peers.
       const fleet = await createKeyedFleet();
       for (let round = 0; round < 2; round++) {
         fleet.platform.faults.down = true;
@@ -268,22 +273,22 @@
         const given = await giveKey(fleet.table, 'gate');
         await withdrawKey(fleet.table, round === 0 ? key.keyId : given.keyId);
         await fleet.clock.advanceAsync(CONFIRMATION_LIMIT_MS);
-        assert.deepEqual(listVerdicts(fleet, key), listSame('unknown'));
+        assert.deepEqual(listVerdicts(fleet, key), listForAll('unknown'));
         assert.deepEqual(
           listVerdicts(fleet, given),
-          listSame(round === 0 ? 'valid' : 'unknown'),
+          listForAll(round === 0 ? 'valid' : 'unknown'),
         );
         fleet.instances[0].cutFromStore = false;
       }
     });
   }
 
-  it('never serves a withdrawn key once the limit is over', async () => {
-    // Any cuts, in any order, and a withdrawal that commits through them: as
-    // long as one instance both reads the table and talks to others, no
-    // instance at all serves the key past the limit.
+  it('never serves a withdrawn key after the time limit', async () => {
+    // Random cuts in any order, and a withdrawal that commits meanwhile: if at
+    // least one instance both reads the table and reaches others, no instance
+    // serves the key after the time limit.
     const event = fc.record({
-      instance: fc.integer({min: 0, max: TWICE.length - 1}),
+      instance: fc.integer({min: 0, max: TWO_PER_DOMAIN.length - 1}),
       cut: fc.constantFrom<CutEvent['cut']>('cutFromStore', 'cutFromPeers'),
       on: fc.boolean(),
       waitMs: fc.integer({min: 0, max: 4000}),
@@ -322,7 +327,7 @@
     );
   });
 
-  it('decides by the newest evidence', () => {
+  it('decides from the newest evidence', () => {
     const failureDomains = ['a', 'b'];
     const answer = (failureDomain: string, askedAt: number) => ({
       failureDomain,
--- a/src/instance/operators/operators.ts
+++ b/src/instance/operators/operators.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' HTTP interface, on an address of its own: health, readiness,
+ * HTTP interface for operators, on a separate address: health, readiness,
  * metrics and the state dump.
  */
 import {createServer, type Server, type ServerResponse} from 'node:http';
@@ -7,10 +7,10 @@
 import type {Metrics} from '../../common/metrics.js';
 import {collectStates, type StateSource} from '../../common/state_dump.js';
 
-/** Why an instance wants no new callers; undefined when it is ready. */
+/** Why an instance should not receive new callers; undefined if it is ready. */
 export type ReadinessCheck = () => string | undefined;
 
-/** What the interface shows. */
+/** What the interface serves. */
 export interface OperatorDependencies {
   metrics: Metrics;
   states: Record<string, StateSource>;
@@ -46,7 +46,7 @@
   },
 };
 
-/** Starts to listen; port 0 takes a free one. */
+/** Starts to listen. Port 0 selects a free port. */
 export async function startOperators(
   host: string,
   port: number,
