--- a/src/instance/calls.test.ts
+++ b/src/instance/calls.test.ts
@@ -1,4 +1,4 @@
-/** Whole sessions of callers while endpoints, keys and instances fail. */
+/** Sessions of callers while endpoints, keys and instances fail. */
 import assert from 'node:assert/strict';
 import {after, before, describe, it} from 'node:test';
 import bunyan from 'bunyan';
@@ -21,20 +21,22 @@
   assertGolden(`instance/golden/${name}.txt`, normalizeSession(session));
 }
 
-/** The text of the pieces; `onPiece` is called with each. */
-async function readPieces(
+/**
+ * Returns the joined text of the chunks. `onChunk` is called with each chunk.
+ */
+async function readChunks(
   body: AsyncIterable<Buffer>,
-  onPiece: (piece: string) => void | Promise<void> = () => {},
+  onChunk: (chunk: string) => void | Promise<void> = () => {},
 ): Promise<string> {
   let text = '';
-  for await (const piece of body) {
-    text += piece;
-    await onPiece(String(piece));
+  for await (const chunk of body) {
+    text += chunk;
+    await onChunk(String(chunk));
   }
   return text;
 }
 
-/** Those with running streams first. */
+/** Sorts engines with running streams first. */
 function sortByRunning(engines: EngineServer[]): EngineServer[] {
   return [...engines].sort(
     (a, b) => b.streams.countRunning() - a.streams.countRunning(),
@@ -45,14 +47,14 @@
   while (!(await isMet())) await new Promise(resolve => setTimeout(resolve, 5));
 }
 
-/** Requests being answered by the first instance. */
+/** Number of requests that the first instance is serving. */
 async function countOpen({instances}: CallFleet): Promise<number> {
   const url = `http://${instances[0].operatorsAddress}/state`;
   const dump = (await (await fetch(url)).json()) as {callers: {open: number}};
   return dump.callers.open;
 }
 
-/** The state of dispatch as text. */
+/** Fetches the dispatcher's state as text. */
 async function fetchDispatch(operatorsAddress: string): Promise<string> {
   const answer = await fetch(`http://${operatorsAddress}/state`);
   return JSON.stringify(((await answer.json()) as {dispatch: object}).dispatch);
@@ -68,17 +70,17 @@
 
     after(() => fleet.stop());
 
-    it('goes on when the engine dies in the middle of a stream', async () => {
-      // The caller reads one whole answer. The engine's process ends while the
-      // stream is open; the request runs again on the other engine, repeats
-      // what was sent, and the rest is passed on.
+    it('resumes a stream on another engine when the engine dies in the middle of it', async () => {
+      // The caller reads one complete answer. The engine's process ends while
+      // the stream is open. The request runs again on the other engine, which
+      // repeats what was already sent, and only the rest is forwarded.
       for (const engine of fleet.engines) {
         Object.assign(engine.options, {tokens: 20, holdAt: 10});
       }
       const question = makeQuestion('is drum 17 accepted', true);
       const {status, body} = await fleet.open(CHAT, {body: question});
-      const text = await readPieces(body, async piece => {
-        if (!piece.includes(' t9"')) return;
+      const text = await readChunks(body, async chunk => {
+        if (!chunk.includes(' t9"')) return;
         const [dying, other] = sortByRunning(fleet.engines);
         other.options.holdAt = null;
         await dying.stop();
@@ -88,9 +90,10 @@
       assertSession('resumed_session', [{status, headers: {}, text}]);
     });
 
-    it('runs a call that may not be repeated once when its answer is lost', async () => {
-      // The caller is told may-have-run. The service runs the call and the
-      // connection breaks before the answer; another try could run it twice.
+    it('runs a call that may not be repeated only once when its response is lost', async () => {
+      // The caller gets the verdict may-have-run. The service runs the call and
+      // the connection breaks before the response. Another attempt could run it
+      // twice.
       fleet.service.faults.push('lose-answer');
       const lost = await fleet.send('/services/visits/book', {
         body: {drum: 17},
@@ -109,10 +112,10 @@
       assertSession('lost_answer_session', [lost, other, repeated]);
     });
 
-    it('lets a resend to another instance find the first call', async () => {
-      // The caller leaves before its answer and sends the call again, to
-      // another instance: first while it runs, then after it ended. The
-      // service runs it once; the resend gets the recorded answer.
+    it('recognizes a call that is resent to another instance', async () => {
+      // The caller disconnects before the response and sends the call again to
+      // another instance, first while it runs and then after it has ended. The
+      // service runs it once, and the resent call gets the recorded answer.
       const call = {
         body: {drum: 19},
         headers: {'idempotency-key': 'visit-19'},
@@ -141,7 +144,7 @@
     });
   });
 
-  it('refuses an account over its rate and says when to come back', async () => {
+  it('refuses an account over its rate and says when to retry', async () => {
     const fleet = await startCallFleet();
     const key = fleet.keys.planner.secret;
     const body = makeQuestion('is drum 17 accepted', false);
@@ -155,16 +158,17 @@
   });
 
   it('ends an open stream whose key is withdrawn', async () => {
-    // The caller reads tokens, then an error as the last event; on the same
-    // connection its next request is refused. The key is withdrawn in the
-    // table; the instance sees it within a second and looks at open requests.
+    // The caller reads tokens, then an error as the last event. Its next
+    // request on the same connection is refused. The key is withdrawn in the
+    // table, and within a second the instance reads the change and checks open
+    // requests.
     const fleet = await startCallFleet();
     fleet.engines[0].options.tokens = 1_000_000;
     fleet.engines[0].options.betweenTokensMs = 10;
     const body = makeQuestion('is drum 17 accepted', true);
     const stream = await fleet.open(CHAT, {body});
     let withdrawn = false;
-    const text = await readPieces(stream.body, async () => {
+    const text = await readChunks(stream.body, async () => {
       if (withdrawn) return;
       withdrawn = true;
       await withdrawKey(fleet.platform.table, fleet.keys.gate.keyId);
@@ -188,11 +192,11 @@
       first.counts.started === 1 ? [first, second] : [second, first];
     fleet.listEndpoints([leaving]);
     for (const engine of fleet.engines) engine.options.holdAt = null;
-    const text = await readPieces(open.body);
+    const text = await readChunks(open.body);
     assert.match(readStream(text).content, / t7$/);
     for (const engine of fleet.engines) engine.options.tokens = 2;
-    // What is waited for is the list's news on every instance: a round that
-    // happens to go elsewhere does not show that it has come.
+    // Waits until every instance has received the change of the list. A round
+    // of requests that happens to go to the other endpoint would not show that.
     await awaitUntil(async () => {
       const dumps = await Promise.all(
         fleet.instances.map(({operatorsAddress}) =>
@@ -201,19 +205,20 @@
       );
       return dumps.every(dump => !dump.includes(leaving.address));
     });
-    const had = leaving.counts.started;
+    const startedBefore = leaving.counts.started;
     const before = staying.counts.started;
     await Promise.all([1, 2, 3, 4].map(() => fleet.send(CHAT, {body})));
-    assert.equal(leaving.counts.started, had);
+    assert.equal(leaving.counts.started, startedBefore);
     assert.equal(staying.counts.started, before + 4);
     await fleet.stop();
   });
 
   describe('graceful shutdown', () => {
-    it('lets every open stream and waiting request end whole', async () => {
-      // Callers see whole answers, then closed connections. The instance is
-      // told to stop while streams are open and more requests wait for a slot
-      // than the engine takes; it answers them all and then refuses to connect.
+    it('completes every open stream and waiting request', async () => {
+      // Callers read complete answers, then their connections are closed. The
+      // instance is stopped while streams are open and more requests wait for a
+      // slot than the engine accepts. It answers all of them and then refuses
+      // connections.
       const fleet = await startCallFleet();
       const [engine] = fleet.engines;
       engine.options.holdAt = 3;
@@ -234,21 +239,22 @@
       await Promise.all([engine.stop(), fleet.service.stop()]);
     });
 
-    it('ends what is still open at its bound with an error', async () => {
+    it('ends requests that are still open after the drain limit with an error', async () => {
       // The caller reads tokens and then, as the last event, that the instance
-      // is stopping: its answer is not whole, and it does not hang.
+      // is draining: it learns that its answer is incomplete, and does not
+      // hang.
       const fleet = await startCallFleet({drainMs: 20});
       fleet.engines[0].options.tokens = 1_000_000;
       const body = makeQuestion('is drum 17 accepted', true);
       const stream = await fleet.open(CHAT, {body});
       const stopped = fleet.instances[0].stop();
-      const {last} = readStream(await readPieces(stream.body));
+      const {last} = readStream(await readChunks(stream.body));
       await stopped;
       assert.match(last, /^event: error\ndata: .*"code":"draining"/);
       await Promise.all([fleet.engines[0].stop(), fleet.service.stop()]);
     });
 
-    it('answers on kept connections that they close', async () => {
+    it('announces the close of keep-alive connections in responses', async () => {
       const fleet = await startCallFleet();
       const [engine] = fleet.engines;
       engine.options.holdAt = 3;
@@ -263,8 +269,8 @@
     });
   });
 
-  it('shows the key to no endpoint, log, metric or dump', async () => {
-    // A key in any of them would work for whoever reads it.
+  it('does not reveal the key to endpoints, logs, metrics or state dumps', async () => {
+    // Whoever could read such a key could use it.
     const logged: string[] = [];
     const log = bunyan.createLogger({
       name: 'test',
--- a/src/instance/crashing_calls.test.ts
+++ b/src/instance/crashing_calls.test.ts
@@ -1,4 +1,4 @@
-/** Calls of the product's own interface that end each engine that runs them. */
+/** Calls of the API whose content crashes each engine that runs them. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {request} from 'undici';
@@ -14,8 +14,8 @@
 const CRASH_LIMIT = 3;
 const LATE_SENDS = 3;
 
-/** Within this time all instances hear of the third crash, in ms. */
-const STABLE_MS = 3000;
+/** Maximum time until all instances have learned of the third crash, in ms. */
+const PROPAGATION_TIMEOUT_MS = 3000;
 
 async function withFleet(run: (fleet: CallFleet) => Promise<void>) {
   const fleet = await startCallFleet({instances: 2, engines: 12});
@@ -32,41 +32,43 @@
   return fleet.send(PATH, {method: 'POST', body, instance});
 }
 
-function countEnded({engines}: CallFleet): number {
+function countCrashed({engines}: CallFleet): number {
   return engines.filter(({hasEnded}) => hasEnded()).length;
 }
 
-async function readHeld(address: string): Promise<number> {
+async function readQuarantinedCount(address: string): Promise<number> {
   const {body} = await request(`http://${address}/state`);
   const state = (await body.json()) as {quarantine?: {held: number}};
   return state.quarantine?.held ?? 0;
 }
 
-async function awaitSpread({instances}: CallFleet) {
-  const end = performance.now() + STABLE_MS;
+async function awaitPropagation({instances}: CallFleet) {
+  const end = performance.now() + PROPAGATION_TIMEOUT_MS;
   await waitUntil(async () => {
     const held = await Promise.all(
-      instances.map(({operatorsAddress}) => readHeld(operatorsAddress)),
+      instances.map(({operatorsAddress}) =>
+        readQuarantinedCount(operatorsAddress),
+      ),
     );
     return held.every(count => count === 1) || performance.now() > end;
   });
 }
 
 describe('a call that crashes engines', () => {
-  // Guards against counting tries by call only: the same content, called again
-  // at any instance, ended one engine after the other.
-  it('is no longer sent after three have ended', () =>
+  // Guards against counting attempts per call only: the same content, sent
+  // again to any instance, crashed one engine after another.
+  it('is no longer sent after three engines have crashed', () =>
     withFleet(async fleet => {
-      for (let turn = 0; countEnded(fleet) < CRASH_LIMIT; turn++) {
+      for (let turn = 0; countCrashed(fleet) < CRASH_LIMIT; turn++) {
         await ask(fleet, CRASHING, turn % 2);
       }
-      await awaitSpread(fleet);
-      const before = countEnded(fleet);
+      await awaitPropagation(fleet);
+      const before = countCrashed(fleet);
       const answers = [];
       for (let turn = 0; turn < 2 * LATE_SENDS; turn++) {
         answers.push(await ask(fleet, CRASHING, turn % 2));
       }
-      assert.ok(countEnded(fleet) - before <= LATE_SENDS);
+      assert.ok(countCrashed(fleet) - before <= LATE_SENDS);
       const {status, text} = answers.at(-1)!;
       assert.equal(status, 503);
       assert.equal(JSON.parse(text).error.code, 'quarantined');
--- a/src/instance/gateway_instance.ts
+++ b/src/instance/gateway_instance.ts
@@ -1,6 +1,6 @@
 /**
  * One gateway instance: the root of the supervisor tree. It starts the parts,
- * runs their periodic work and ends them in order.
+ * runs their periodic tasks and stops them in order.
  */
 import {waitFor, type Clock} from '../common/clock.js';
 import type {Log} from '../common/log.js';
@@ -24,9 +24,8 @@
 import type {RoutingDocument} from './routing/routing_document.js';
 import {fetchNewerRouting} from './routing/routing_sync.js';
 import {QUARANTINE_UPKEEP_MS} from './quarantine/constants.js';
-import {splitListen} from './settings.js';
+import {splitListenAddress} from './settings.js';
 
-/** What a gateway instance is started with. */
 export interface GatewayInstanceDependencies {
   settings: GatewaySettings;
   platform: GatewayPlatform;
@@ -40,23 +39,26 @@
 export interface GatewayInstance {
   callersAddress: string;
   operatorsAddress: string;
-  /** Puts a routing document into force unless a newer one is. */
+  /** Applies a routing document, unless a newer one is already active. */
   applyRouting(document: RoutingDocument): void;
-  /** Takes in the endpoints' registrations. */
+  /** Receives the endpoints' registrations. */
   registrations: RegistrationListener;
-  /** Shuts down gracefully: no running request is cut off. */
+  /** Shuts down gracefully: running requests are completed. */
   stop(): Promise<void>;
-  /** Ends at once, as a crash does. */
+  /** Stops at once, as in a crash. */
   halt(): Promise<void>;
 }
 
-/** Asking peers for a newer routing document, in ms. */
-const ROUTING_SYNC_MS = 500;
+/** Interval at which peers are asked for a newer routing document, in ms. */
+const ROUTING_SYNC_INTERVAL_MS = 500;
 
-/** Left between the end of draining and the end of the grace period, in ms. */
+/** Time between the end of draining and the end of the grace period, in ms. */
 const EXIT_MARGIN_MS = 800;
 
-/** Starts an instance; resolves when it listens. It is ready a little later. */
+/**
+ * Starts an instance. Resolves when it listens; readiness follows a little
+ * later.
+ */
 export async function startGatewayInstance({
   settings,
   platform,
@@ -79,7 +81,7 @@
   let draining = false;
 
   const peerServer = await startPeerServer(
-    ...splitListen(settings.listen.peers),
+    ...splitListenAddress(settings.listen.peers),
     buildGatewayPeerRouter({
       members,
       dispatch: {
@@ -98,15 +100,18 @@
     peerKeys,
   );
   self.address = peerServer.address;
-  const gateway = await startGateway(...splitListen(settings.listen.callers), {
-    clock,
-    log,
-    metrics,
-    routing,
-    protocol: platform.callers,
-    relay: parts.relay,
-    bundles: parts.bundles,
-  });
+  const gateway = await startGateway(
+    ...splitListenAddress(settings.listen.callers),
+    {
+      clock,
+      log,
+      metrics,
+      routing,
+      protocol: platform.callers,
+      relay: parts.relay,
+      bundles: parts.bundles,
+    },
+  );
 
   function describeUnready(): string | undefined {
     if (draining) return 'draining';
@@ -117,7 +122,7 @@
   }
 
   const operators = await startOperators(
-    ...splitListen(settings.listen.operators),
+    ...splitListenAddress(settings.listen.operators),
     {
       metrics,
       states: {
@@ -144,22 +149,25 @@
     );
     if (!isNewer) return;
     const version = routing.getVersion();
-    log.info({version, source: 'peer'}, 'configuration in force');
+    log.info({version, source: 'peer'}, 'configuration applied');
   }
 
-  /** A peer's word may show that what is missing has left. */
+  /**
+   * A peer's report may show that endpoints with missing registrations have
+   * left.
+   */
   async function sendHeartbeats() {
     await members.sendHeartbeats();
     endpoints.expire(clock.now());
   }
 
-  async function keepEntries() {
+  async function refreshEntries() {
     await directory.register();
     await directory.removeSilent(members, clock.now());
   }
 
   const tasks = spawnTasks(system, clock, [
-    {name: 'entries', everyMs: ENTRY_UPKEEP_INTERVAL_MS, run: keepEntries},
+    {name: 'entries', everyMs: ENTRY_UPKEEP_INTERVAL_MS, run: refreshEntries},
     {
       name: 'heartbeats',
       everyMs: HEARTBEAT_INTERVAL_MS,
@@ -167,7 +175,7 @@
     },
     {name: 'refresh', everyMs: 1000, run: parts.refreshMembers},
     {name: 'slot-reports', everyMs: REPORT_INTERVAL_MS, run: dispatch.report},
-    {name: 'routing-sync', everyMs: ROUTING_SYNC_MS, run: syncRouting},
+    {name: 'routing-sync', everyMs: ROUTING_SYNC_INTERVAL_MS, run: syncRouting},
     {name: 'quarantine', everyMs: QUARANTINE_UPKEEP_MS, run: quarantine.keep},
     {name: 'bundles', everyMs: ADOPT_INTERVAL_MS, run: worker.poll},
     {
@@ -196,7 +204,7 @@
     await members.leave();
     dispatch.stop();
     await worker.handOver();
-    await forgetOutage(directory.leave());
+    await runDespiteOutage(directory.leave());
   }
 
   return {
@@ -207,7 +215,7 @@
       const {version, routes, accounts} = document;
       log.info(
         {version, routes: routes.length, accounts: accounts.length},
-        'configuration in force',
+        'configuration applied',
       );
       dispatch.refresh();
     },
@@ -215,7 +223,7 @@
     async stop() {
       const startedAt = clock.now();
       draining = true;
-      log.info({open: gateway.describeState()}, 'instance drains');
+      log.info({open: gateway.describeState()}, 'instance is draining');
       gateway.startDraining();
       const {notice, grace} = settings.shutdown;
       await Promise.all([leaveFleet(), waitFor(clock, notice)]);
@@ -233,11 +241,11 @@
   };
 }
 
-async function forgetOutage(step: Promise<void>) {
+async function runDespiteOutage(step: Promise<void>) {
   try {
     await step;
   } catch (error) {
-    // The row is removed by others once this instance is found silent.
+    // Other instances delete the row once they find this instance silent.
     if (!(error instanceof StoreError)) throw error;
   }
 }
--- a/src/instance/gateway_parts.ts
+++ b/src/instance/gateway_parts.ts
@@ -1,4 +1,7 @@
-/** The parts of a gateway instance, tied together; nothing here waits. */
+/**
+ * Creates the parts of a gateway instance and connects them. Nothing here
+ * waits.
+ */
 import {startActorSystem} from '../common/actor.js';
 import type {Clock} from '../common/clock.js';
 import type {Log} from '../common/log.js';
@@ -36,23 +39,28 @@
 import {createQuarantine} from './quarantine/quarantine.js';
 import {createRoutingTable} from './routing/routing_table.js';
 
-/** The operators' platform, as an adapter gives it. */
+/** The operators' platform, as provided by a platform adapter. */
 export interface GatewayPlatform {
   table: TableStore;
-  /** The store's clock. */
+  /** The time of the store's clock. */
   time: SharedTime;
   objects: SmallObjects;
   watch: CollectionWatch;
   callers: CallerProtocol;
   endpoints: EndpointProtocol;
-  /** Since when a feed of the store has no answer; undefined if all have. */
+  /**
+   * Since when a feed of the store has had no response; undefined if all feeds
+   * have one.
+   */
   getStoreLostAt(): number | undefined;
 }
 
-/** Longest wait for a peer that asks the store, in ms: two tries of its own. */
-const RELAYED_CALL_MS = 2000;
+/**
+ * Timeout of a store call through a peer, in ms: the time of two attempts by
+ * the peer.
+ */
+const RELAYED_CALL_TIMEOUT_MS = 2000;
 
-/** What the parts are made of. */
 export interface GatewayPartsDependencies {
   settings: GatewaySettings;
   platform: GatewayPlatform;
@@ -62,10 +70,10 @@
   metrics: Metrics;
 }
 
-/** Every part of a gateway instance. */
+/** All parts of a gateway instance. */
 export type GatewayParts = ReturnType<typeof createGatewayParts>;
 
-/** Builds the parts; gateway_instance.ts starts them. */
+/** Creates the parts. gateway_instance.ts starts them. */
 export function createGatewayParts({
   settings,
   platform,
@@ -93,7 +101,7 @@
   );
   const system = startActorSystem(name, (actor, error) => {
     crashes.inc({actor});
-    log.warn({actor, err: error}, 'actor crashed and goes on');
+    log.warn({actor, err: error}, 'actor crashed; resuming with its next run');
   });
   const routing = createRoutingTable();
   const peerClients = createPeerClients<GatewayPeerRouter>(
@@ -102,7 +110,9 @@
     clock,
   );
 
-  /** An instance list that is not known yet is no empty one. */
+  /**
+   * Throws until the list is known: an unknown list must not count as empty.
+   */
   async function fetchList(): Promise<ListedInstance[]> {
     if (!endpoints.isKnown() || !directory.isKnown()) {
       throw new StoreError('the registrations are not known yet', 'none');
@@ -110,7 +120,7 @@
     return [...directory.list(), ...endpoints.list()];
   }
 
-  /** The list is at hand, so that a change is in force at once. */
+  /** Reads the list again. It is in memory, so a change is active at once. */
   function refreshMembers() {
     members.poll().then(
       () => dispatch.refresh(),
@@ -154,11 +164,11 @@
       .list()
       .map(each => each.name)
       .filter(each => !live.has(each));
-    log.info({live: live.size, missing}, 'other instances live now');
+    log.info({live: live.size, missing}, 'set of live instances changed');
   });
 
-  /** Whether the store answers others but not this instance. */
-  function checkBlind(): boolean {
+  /** Whether the store answers other instances but not this one. */
+  function isWithoutStoreAccess(): boolean {
     return isBlind(platform.getStoreLostAt(), members.listWitnessReports());
   }
 
@@ -169,7 +179,7 @@
     peers: peerClients,
     log,
     metrics,
-    isBlind: checkBlind,
+    isBlind: isWithoutStoreAccess,
   });
   const ownerLimits = createOwnerLimits({
     clock,
@@ -194,9 +204,9 @@
       },
     },
   });
-  /** Where the store turns only this instance away, a peer asks it. */
+  /** Sends a store call to a peer, if the store refuses only this instance. */
   function forwardToPeer(call: RelayedCall) {
-    if (!checkBlind()) return undefined;
+    if (!isWithoutStoreAccess()) return undefined;
     const peer = members
       .listWitnessReports()
       .filter(({storeReachable}) => storeReachable)
@@ -206,7 +216,7 @@
     if (!peer) return undefined;
     return peerClients
       .get(peer.address)
-      .store.run.mutate(call, {context: {timeoutMs: RELAYED_CALL_MS}});
+      .store.run.mutate(call, {context: {timeoutMs: RELAYED_CALL_TIMEOUT_MS}});
   }
 
   const relayed = createRelayedStore({table, objects, time}, forwardToPeer);
@@ -247,7 +257,8 @@
     directory,
     runner: createItemRunner(runDependencies),
     peers: {
-      // What is lost on the way is found by the next look of either side.
+      // A lost message needs no retry: both sides check periodically for what
+      // it says.
       sendOrphans: (address, orphans) =>
         void peerClients
           .get(address)
--- a/src/instance/gateway_settings.ts
+++ b/src/instance/gateway_settings.ts
@@ -1,4 +1,4 @@
-/** The settings of one gateway instance, an INI file read at start. */
+/** The settings of one gateway instance, read from an INI file at startup. */
 import * as z from 'zod';
 import {parseIniDocument} from '../common/ini_document.js';
 import {
@@ -66,7 +66,7 @@
 /** Checked settings. */
 export type GatewaySettings = z.infer<typeof gatewaySettingsSchema>;
 
-/** Throws InvalidDocumentError; `source` names the file in errors. */
+/** Throws InvalidDocumentError. `source` names the file in its message. */
 export function parseGatewaySettings(
   text: string,
   source: string,
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -1,6 +1,6 @@
 /**
- * One instance: the root of the supervisor tree. It starts the parts,
- * runs their periodic work and ends them in order.
+ * One instance: the root of the supervisor tree. It starts the parts, runs
+ * their periodic tasks and stops them in order.
  */
 import {waitFor, type Clock} from '../common/clock.js';
 import type {Log} from '../common/log.js';
@@ -25,16 +25,15 @@
 import {startPeerServer} from './peers/peer_server.js';
 import {PROMISE_RENEWAL_MS} from '../decisions/rate_constants.js';
 import {QUARANTINE_UPKEEP_MS} from './quarantine/constants.js';
-import {splitListen, type Settings} from './settings.js';
+import {splitListenAddress, type Settings} from './settings.js';
 import {createParts} from './instance_parts.js';
 
-/** What an instance is started with. */
 export interface InstanceDependencies {
   settings: Settings;
   platform: Platform;
   clock: Clock;
   log: Log;
-  /** Made here when left out. */
+  /** Created by startInstance if absent. */
   metrics?: Metrics;
 }
 
@@ -43,13 +42,13 @@
   callersAddress: string;
   operatorsAddress: string;
   peersAddress: string;
-  /** Shuts down gracefully: no running request is cut off. */
+  /** Shuts down gracefully: running requests are completed. */
   stop(): Promise<void>;
-  /** Ends at once, as a crash does: hands nothing over, tells nobody. */
+  /** Stops at once, as in a crash: hands nothing over and notifies nobody. */
   halt(): Promise<void>;
 }
 
-/** Starts an instance; resolves when it answers callers. */
+/** Starts an instance. Resolves when it serves callers. */
 export async function startInstance({
   settings,
   platform,
@@ -68,8 +67,10 @@
   ];
 
   /**
-   * Each looks by itself: waiting for a service that is silent must delay
-   * neither the other one nor the peers, who are asked just because of it.
+   * Runs one poll, then refreshes the dispatcher. Each platform task polls on
+   * its own: waiting for a service that does not respond must delay neither the
+   * other services nor the requests to peers, which are sent because of that
+   * silence.
    */
   async function pollThenRefresh(poll: () => Promise<void>) {
     try {
@@ -80,7 +81,7 @@
   }
 
   const peerServer = await startPeerServer(
-    ...splitListen(settings.listen.peers),
+    ...splitListenAddress(settings.listen.peers),
     buildPeerRouter({
       members,
       dispatch: {
@@ -137,7 +138,7 @@
   ]);
   let draining = false;
   const operators = await startOperators(
-    ...splitListen(settings.listen.operators),
+    ...splitListenAddress(settings.listen.operators),
     {
       metrics,
       states: {
@@ -161,24 +162,27 @@
         draining ? 'draining' : keys.describeUnready(clock.now()),
     },
   );
-  const callers = await startCallers(...splitListen(settings.listen.callers), {
-    clock,
-    configuration,
-    keys,
-    limits,
-    execution,
-    batch,
-    intents: createIntents(platform.table, metrics),
-    answerLengths: createAnswerLengths(),
-    metrics,
-  });
+  const callers = await startCallers(
+    ...splitListenAddress(settings.listen.callers),
+    {
+      clock,
+      configuration,
+      keys,
+      limits,
+      execution,
+      batch,
+      intents: createIntents(platform.table, metrics),
+      answerLengths: createAnswerLengths(),
+      metrics,
+    },
+  );
   log.info(
     {
       callers: callers.address,
       operators: operators.address,
       peers: peerServer.address,
     },
-    'instance serves callers',
+    'instance is serving callers',
   );
 
   async function closeAll() {
@@ -217,7 +221,10 @@
   };
 }
 
-/** A start during an outage goes on with what peers know. */
+/**
+ * Waits for a step of the start. If the store does not answer, the instance
+ * starts with what its peers know.
+ */
 async function runDespiteOutage(step: Promise<unknown>): Promise<void> {
   try {
     await step;
--- a/src/instance/instance_parts.ts
+++ b/src/instance/instance_parts.ts
@@ -1,6 +1,6 @@
 /**
- * The parts of an instance, tied together. This is the one place that knows
- * them all; none of them knows it, and nothing here waits or listens.
+ * Creates the parts of an instance and connects them. Only this module knows
+ * all parts, and no part depends on it. Nothing here waits or listens.
  */
 import {startActorSystem} from '../common/actor.js';
 import {type Clock} from '../common/clock.js';
@@ -31,7 +31,6 @@
 import {createPolledWatch} from '../stores/polled_watch.js';
 import {type Settings} from './settings.js';
 
-/** What the parts are made of. */
 export interface PartsDependencies {
   settings: Settings;
   platform: Platform;
@@ -40,10 +39,10 @@
   metrics: Metrics;
 }
 
-/** Every part of an instance. */
+/** All parts of an instance. */
 export type InstanceParts = ReturnType<typeof createParts>;
 
-/** Builds the parts; instance.ts starts them. */
+/** Creates the parts. instance.ts starts them. */
 export function createParts({
   settings,
   platform,
@@ -57,7 +56,7 @@
     address: settings.listen.peers,
     region,
     failureDomain,
-    /** That of the lease: a lost lease makes a new run of it. */
+    /** The incarnation of the lease, which changes after a lost lease. */
     get incarnation(): string {
       return lease.incarnation;
     },
@@ -70,7 +69,7 @@
   );
   const system = startActorSystem(name, (actor, error) => {
     crashes.inc({actor});
-    log.warn({actor, err: error}, 'actor crashed and goes on');
+    log.warn({actor, err: error}, 'actor crashed; resuming with its next run');
   });
   const peerKeys = createPeerKeys(
     settings.peers.key,
@@ -139,8 +138,8 @@
   const crashWatch = createPolledWatch(platform.table);
   const quarantine = createQuarantine({
     clock,
-    // Instances' wall clocks: apart by more than SAME_CRASH_MS, two that lose
-    // the same content in one crash count it twice.
+    // Wall clocks of the instances. If they differ by more than SAME_CRASH_MS,
+    // two instances that lose the same content in one crash count it twice.
     time: {read: clock.wallNow},
     log,
     metrics,
--- a/src/instance/instance_tasks.ts
+++ b/src/instance/instance_tasks.ts
@@ -1,4 +1,4 @@
-/** The periodic work of an instance, in one table. */
+/** Spawns the periodic tasks of an instance. */
 import {
   spawnPeriodicTask,
   type ActorSystem,
@@ -7,7 +7,7 @@
 import type {Clock} from '../common/clock.js';
 import {StoreError} from '../stores/table_store.js';
 
-/** One piece of periodic work. */
+/** One periodic task. */
 export interface TaskDescription {
   /** Name of its actor. */
   name: string;
@@ -17,8 +17,8 @@
 }
 
 /**
- * Spawns an actor for each. A store that gives no answer is no crash: it is
- * counted where it was called, and the next run asks again.
+ * Spawns an actor for each task. A StoreError does not crash the actor: it is
+ * counted where the store was called, and the next run tries again.
  */
 export function spawnTasks(
   system: ActorSystem,
--- a/src/instance/outage.test.ts
+++ b/src/instance/outage.test.ts
@@ -1,4 +1,4 @@
-/** Whole instances while the platform's table is out. */
+/** Complete instances during an outage of the platform's table. */
 import assert from 'node:assert/strict';
 import {after, before, describe, it} from 'node:test';
 import {setTimeout as waitTurn} from 'node:timers/promises';
@@ -19,7 +19,7 @@
 import {startInstance, type Instance} from './instance.js';
 import {giveKey, withdrawKey} from './keys/key_directory.js';
 
-const GIVE_UP_MS = 10_000;
+const STATUS_TIMEOUT_MS = 10_000;
 
 describe('an outage of the table', () => {
   const platform = createMemoryPlatform();
@@ -56,8 +56,14 @@
     return instance;
   }
 
-  /** Status of the list of models; it must name the engine's model. */
-  async function ask(instance: Instance, secret: string): Promise<number> {
+  /**
+   * Fetches the list of models and returns the status. A list must contain the
+   * engine's model.
+   */
+  async function fetchModelsStatus(
+    instance: Instance,
+    secret: string,
+  ): Promise<number> {
     const url = `http://${instance.callersAddress}/v1/models`;
     const headers = {authorization: `Bearer ${secret}`};
     const answer = await request(url, {headers});
@@ -66,19 +72,19 @@
     return answer.statusCode;
   }
 
-  async function askReadiness(instance: Instance): Promise<number> {
+  async function fetchReadiness(instance: Instance): Promise<number> {
     const url = `http://${instance.operatorsAddress}/readyz`;
     const answer = await request(url);
     await answer.body.text();
     return answer.statusCode;
   }
 
-  /** Asks until the answer has this status, for ten seconds at the most. */
+  /** Polls until the response has this status, for at most ten seconds. */
   async function awaitStatus(
     fetchStatus: () => Promise<number>,
     wanted: number,
   ) {
-    const end = performance.now() + GIVE_UP_MS;
+    const end = performance.now() + STATUS_TIMEOUT_MS;
     let status = await fetchStatus();
     while (status !== wanted && performance.now() < end) {
       await waitTurn(20);
@@ -87,20 +93,21 @@
     assert.equal(status, wanted);
   }
 
-  it('does not keep an instance from starting with documents and keys', async () => {
-    // An instance replaced during an outage would know no model and no key,
-    // and its callers would be refused until the table is back: it starts,
-    // asks its peers for both, and knows them. (Rates are another matter.)
+  it('does not prevent an instance from starting with documents and keys', async () => {
+    // Guards against an instance that is replaced during an outage and knows no
+    // model and no key, so that its callers are refused until the table
+    // recovers. It starts and fetches both from its peers. (Rate limits are not
+    // covered here.)
     const {secret, keyId} = await giveKey(platform.table, 'gate');
     const first = await startEntry('entry-1');
-    await awaitStatus(() => ask(first, secret), 200);
+    await awaitStatus(() => fetchModelsStatus(first, secret), 200);
     platform.faults.downServices = ['table', 'objects'];
     const second = await startEntry('entry-2');
-    await awaitStatus(() => ask(second, secret), 200);
-    await awaitStatus(() => askReadiness(second), 200);
+    await awaitStatus(() => fetchModelsStatus(second, secret), 200);
+    await awaitStatus(() => fetchReadiness(second), 200);
     platform.faults.downServices = [];
     await withdrawKey(platform.table, keyId);
-    await awaitStatus(() => ask(second, secret), 401);
-    await awaitStatus(() => ask(first, secret), 401);
+    await awaitStatus(() => fetchModelsStatus(second, secret), 401);
+    await awaitStatus(() => fetchModelsStatus(first, secret), 401);
   });
 });
--- a/src/instance/session.test.ts
+++ b/src/instance/session.test.ts
@@ -1,4 +1,4 @@
-/** Whole sessions through one instance, compared with golden files. */
+/** Complete sessions through one instance, compared with golden files. */
 import assert from 'node:assert/strict';
 import {after, before, describe, it} from 'node:test';
 import {request} from 'undici';
@@ -19,10 +19,10 @@
 import {startInstance, type Instance} from './instance.js';
 import {giveKey} from './keys/key_directory.js';
 
-/** Well past what three items take beside busy processes, in ms. */
-const OUTPUT_WITHIN_MS = 60_000;
+/** Much longer than three items take on a busy machine, in ms. */
+const OUTPUT_TIMEOUT_MS = 60_000;
 
-describe('a whole session', () => {
+describe('a complete session', () => {
   const platform = createMemoryPlatform();
   let engine: EngineServer;
   let instance: Instance;
@@ -60,18 +60,18 @@
     return `${method} ${path}\n${answer.statusCode}\n${await answer.body.text()}\n`;
   }
 
-  const question = (stream: boolean) =>
+  const buildRequest = (stream: boolean) =>
     JSON.stringify({
       model: 'drum-reader-7b',
       stream,
       messages: [{role: 'user', content: 'is drum 17 accepted'}],
     });
 
-  it('answers whole and streamed questions', async () => {
+  it('answers complete and streamed requests', async () => {
     const session = [
       await sendCall('GET', '/v1/models'),
-      await sendCall('POST', '/v1/chat/completions', question(false)),
-      await sendCall('POST', '/v1/chat/completions', question(true)),
+      await sendCall('POST', '/v1/chat/completions', buildRequest(false)),
+      await sendCall('POST', '/v1/chat/completions', buildRequest(true)),
       await sendCall('POST', '/v1/chat/completions', '{"model":'),
       await sendCall('GET', '/v1/chat/completions'),
     ];
@@ -81,7 +81,7 @@
     );
   });
 
-  it('completes a bundle and returns it whole', async () => {
+  it('completes a bundle and returns its complete output', async () => {
     const lines = ['a', 'b', 'c'].map(custom_id =>
       JSON.stringify({
         custom_id,
@@ -104,7 +104,7 @@
     const jobId = JSON.parse(job.split('\n')[2]).id;
     const path = `/v1/batches/${jobId}/output`;
     const notYet = `GET ${path}\n404\n`;
-    const end = performance.now() + OUTPUT_WITHIN_MS;
+    const end = performance.now() + OUTPUT_TIMEOUT_MS;
     let output = await sendCall('GET', path);
     while (output.startsWith(notYet)) {
       assert.ok(performance.now() < end, await sendCall('GET', '/v1/batches'));
@@ -116,7 +116,7 @@
     );
   });
 
-  it('shows the key to no endpoint', () => {
+  it('does not send the key to endpoints', () => {
     assert.ok(engine.received.length > 0);
     assert.ok(engine.received.every(text => !text.includes(secret)));
   });
--- a/src/instance/settings.ts
+++ b/src/instance/settings.ts
@@ -1,4 +1,4 @@
-/** The settings of one instance, an INI file read at start. */
+/** The settings of one instance, read from an INI file at startup. */
 import * as z from 'zod';
 import {parseIniDocument} from '../common/ini_document.js';
 import {
@@ -19,7 +19,7 @@
   .min(32, 'must be at least 32 characters')
   .meta({form: 'text', range: 'at least 32 characters'});
 
-/** The section on logs, the same for every kind of instance. */
+/** The log section, the same for every kind of instance. */
 export const logSectionSchema = z
   .strictObject({
     level: z
@@ -83,7 +83,7 @@
 /** Checked settings. */
 export type Settings = z.infer<typeof settingsSchema>;
 
-/** Throws InvalidDocumentError; `source` names the file in errors. */
+/** Throws InvalidDocumentError. `source` names the file in its message. */
 export function parseSettings(text: string, source: string): Settings {
   return parseIniDocument(text, settingsSchema, source);
 }
@@ -97,8 +97,10 @@
   };
 }
 
-/** The same as arguments of a listener. */
-export function splitListen(address: string): [host: string, port: number] {
+/** Splits an address into the arguments of a listener. */
+export function splitListenAddress(
+  address: string,
+): [host: string, port: number] {
   const {host, port} = splitAddress(address);
   return [host, port];
 }
