--- a/src/instance/calls.test.ts
+++ b/src/instance/calls.test.ts
@@ -90,7 +90,7 @@
       assertSession('resumed_session', [{status, headers: {}, text}]);
     });
 
-    it('runs a call that may not be repeated only once when its response is lost', async () => {
+    it('runs a non-repeatable call only once when its response is lost', async () => {
       // The caller gets the verdict may-have-run. The service runs the call and
       // the connection breaks before the response. Another attempt could run it
       // twice.
--- a/src/instance/configuration/operators_race.test.ts
+++ b/src/instance/configuration/operators_race.test.ts
@@ -22,10 +22,7 @@
   ...['none', 'none', 'none', 'refused', 'lost', 'late'],
 );
 
-/**
- * Number of turns of the event loop's microtask queue after which a late call
- * takes effect.
- */
+/** Turns of the microtask queue after which a late call takes effect. */
 const LATE_TURNS = 12;
 
 const operator = fc.record({
--- a/src/instance/configuration/peer_sync.ts
+++ b/src/instance/configuration/peer_sync.ts
@@ -116,10 +116,10 @@
   }
 
   /**
-   * The witnesses of a domain take turns. If only some of them read the table,
-   * one that does is asked within as many seconds as the domain has witnesses.
-   * Or a witness that cannot read the table has the content from another
-   * instance.
+   * The witnesses of a domain take turns. If one of them reads the table and
+   * another does not, the one that does is asked within as many seconds as the
+   * domain has witnesses, or its content arrives through a witness that fetched
+   * it.
    *
    * A witness that has just died does not answer before the call times out.
    * Waiting for that would make its domain silent for longer than
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -26,7 +26,7 @@
 import {PROMISE_RENEWAL_MS} from '../decisions/rate_constants.js';
 import {QUARANTINE_UPKEEP_MS} from './quarantine/constants.js';
 import {splitListenAddress, type Settings} from './settings.js';
-import {createParts} from './instance_parts.js';
+import {createInstanceParts} from './instance_parts.js';
 
 export interface InstanceDependencies {
   settings: Settings;
@@ -56,7 +56,7 @@
   log,
   metrics = createMetrics(),
 }: InstanceDependencies): Promise<Instance> {
-  const parts = createParts({settings, platform, clock, log, metrics});
+  const parts = createInstanceParts({settings, platform, clock, log, metrics});
   const {self, system, lease, members, configuration, dispatch, batch} = parts;
   const {peerSync, keys, limits, execution, orders, endpointClient} = parts;
   const {observer, peerClients, peerKeys, crashWatch, quarantine} = parts;
--- a/src/instance/instance_parts.ts
+++ b/src/instance/instance_parts.ts
@@ -31,7 +31,7 @@
 import {createPolledWatch} from '../stores/polled_watch.js';
 import {type Settings} from './settings.js';
 
-export interface PartsDependencies {
+export interface InstancePartsDependencies {
   settings: Settings;
   platform: Platform;
   clock: Clock;
@@ -40,16 +40,16 @@
 }
 
 /** All parts of an instance. */
-export type InstanceParts = ReturnType<typeof createParts>;
+export type InstanceParts = ReturnType<typeof createInstanceParts>;
 
 /** Creates the parts. instance.ts starts them. */
-export function createParts({
+export function createInstanceParts({
   settings,
   platform,
   clock,
   log,
   metrics,
-}: PartsDependencies) {
+}: InstancePartsDependencies) {
   const {name, region, failure_domain: failureDomain} = settings.instance;
   const self = {
     name,
--- a/src/instance/members/constants.ts
+++ b/src/instance/members/constants.ts
@@ -25,8 +25,8 @@
 export const WITNESS_INTERVAL_ROUNDS = 5;
 
 /**
- * The same while this instance cannot reach the store: what the witnesses
- * report then decides whether it may go on serving.
+ * The same while this instance cannot reach the store. It then needs recent
+ * reports from the witnesses, which show whether the store answers others.
  */
 export const WITNESS_INTERVAL_ROUNDS_WITHOUT_STORE = 2;
 
--- a/src/instance/members/entry_directory.test.ts
+++ b/src/instance/members/entry_directory.test.ts
@@ -56,7 +56,7 @@
   return list().map(({name}) => name);
 }
 
-describe('the registered instances', () => {
+describe('registered instances', () => {
   it('are listed by every instance with all fields', async () => {
     const {directories} = await joinAll(NAMES.slice(0, 2));
     const [, found] = directories[0].list();
--- a/src/instance/members/heartbeat_router.ts
+++ b/src/instance/members/heartbeat_router.ts
@@ -13,8 +13,8 @@
   name: z.string().max(63),
   incarnation: z.string().max(64),
   /**
-   * Generation of configuration and keys that the sender has applied. Not
-   * interpreted here.
+   * Version of the configuration that the sender has applied (its generation or
+   * the routing version). Not interpreted here.
    */
   generation: z.number().default(0),
   /** Whether the sender's last read of the platform's store succeeded. */
--- a/src/instance/members/members.ts
+++ b/src/instance/members/members.ts
@@ -114,8 +114,7 @@
   options: MembersOptions = {},
 ): Members {
   const clock = options.clock ?? createSystemClock();
-  const {sendHeartbeat, readAnswerPeriod: readStoreRun = () => undefined} =
-    options;
+  const {sendHeartbeat, readAnswerPeriod = () => undefined} = options;
   const readStatus =
     options.readStatus ?? (() => ({generation: 0, storeReachable: true}));
   const updates = createMemberUpdates();
@@ -321,7 +320,7 @@
     handleHeartbeat(heartbeat) {
       const now = clock.now();
       noteHeartbeat(heartbeat, now);
-      const storeRun = encodeAnswerPeriod(readStoreRun(), now);
+      const storeRun = encodeAnswerPeriod(readAnswerPeriod(), now);
       return {...buildHeartbeat(heartbeat.name), storeRun};
     },
     async leave() {
