--- a/src/decisions/store_answers.ts
+++ b/src/decisions/store_answers.ts
@@ -18,7 +18,7 @@
 export const REGISTRATION_RETURN_MS = 2000;
 
 /** A period in which the store answered without a long silence, in ms. */
-export interface AnswerRun {
+export interface AnswerPeriod {
   from: number;
   to: number;
 }
@@ -28,10 +28,10 @@
  * `lapseMs` lies between them, the shortest in which a registration can lapse.
  */
 export function mergeRuns(
-  held: AnswerRun | undefined,
-  received: AnswerRun,
+  held: AnswerPeriod | undefined,
+  received: AnswerPeriod,
   lapseMs: number,
-): AnswerRun {
+): AnswerPeriod {
   if (!held || held.to + lapseMs <= received.from) return received;
   if (received.to + lapseMs <= held.from) return held;
   return {
@@ -44,7 +44,7 @@
  * Whether a missing registration may have lapsed while its endpoint is alive.
  */
 export function shouldKeepMissing(
-  {from, to}: AnswerRun,
+  {from, to}: AnswerPeriod,
   lapseMs: number,
   now: number,
 ): boolean {
--- a/src/instance/members/endpoint_directory.test.ts
+++ b/src/instance/members/endpoint_directory.test.ts
@@ -8,7 +8,7 @@
 import {createVirtualClock} from '../../common/virtual_clock.js';
 import {
   REGISTRATION_RETURN_MS,
-  type AnswerRun,
+  type AnswerPeriod,
 } from '../../decisions/store_answers.js';
 import type {ListedInstance} from '../../stores/instance_list.js';
 import {INTERVALS_TO_LAPSE} from './constants.js';
@@ -39,7 +39,7 @@
  */
 function startDirectory() {
   const clock = createVirtualClock();
-  const reports: {storeRun?: AnswerRun}[] = [];
+  const reports: {storeRun?: AnswerPeriod}[] = [];
   const directory = createEndpointDirectory({
     clock,
     log: createSilentLog(),
--- a/src/instance/members/endpoint_directory.ts
+++ b/src/instance/members/endpoint_directory.ts
@@ -10,7 +10,7 @@
   shouldKeepMissing,
   mergeRuns,
   REGISTRATION_RETURN_MS,
-  type AnswerRun,
+  type AnswerPeriod,
 } from '../../decisions/store_answers.js';
 import type {ListedInstance} from '../../stores/instance_list.js';
 import {INTERVALS_TO_LAPSE} from './constants.js';
@@ -44,7 +44,7 @@
    * The period in which the store answered this instance or a peer, as far as
    * known.
    */
-  computeAnswerPeriod(): AnswerRun | undefined;
+  computeAnswerPeriod(): AnswerPeriod | undefined;
   /**
    * Removes missing endpoints that can no longer be expected to register again.
    */
@@ -76,10 +76,10 @@
   const lapseMs = INTERVALS_TO_LAPSE * heartbeatMs;
   const endpoints = new Map<string, ListedInstance>();
   const missing = new Set<string>();
-  let ownPeriod: AnswerRun | undefined;
+  let ownPeriod: AnswerPeriod | undefined;
   let isKnown = false;
 
-  function computeAnswerPeriod(): AnswerRun | undefined {
+  function computeAnswerPeriod(): AnswerPeriod | undefined {
     return listReports().reduce(
       (old, {storeRun}) => (storeRun ? mergeRuns(old, storeRun, lapseMs) : old),
       ownPeriod,
--- a/src/instance/members/members.ts
+++ b/src/instance/members/members.ts
@@ -8,7 +8,7 @@
 import {createSystemClock} from '../../common/clock.js';
 import type {StateSource} from '../../common/state_dump.js';
 import {orderRing, rankByRendezvous} from '../../decisions/instance_ranking.js';
-import type {AnswerRun} from '../../decisions/store_answers.js';
+import type {AnswerPeriod} from '../../decisions/store_answers.js';
 import type {InstanceList, ListedInstance} from '../../stores/instance_list.js';
 import {
   FAILURES_TO_SUSPECT,
@@ -46,7 +46,7 @@
    * Period in which the store answered, as reported by the peer, in this
    * instance's time.
    */
-  storeRun?: AnswerRun;
+  storeRun?: AnswerPeriod;
   /**
    * Monotonic time at which this instance sent the heartbeat that the peer
    * responded to.
@@ -67,7 +67,7 @@
   /**
    * Period in which the store answered, sent with each response to a heartbeat.
    */
-  readAnswerPeriod?(): AnswerRun | undefined;
+  readAnswerPeriod?(): AnswerPeriod | undefined;
 }
 
 /** Members and endpoints as this instance sees them now. */
@@ -345,7 +345,7 @@
 }
 
 function encodeAnswerPeriod(
-  period: AnswerRun | undefined,
+  period: AnswerPeriod | undefined,
   now: number,
 ): Heartbeat['storeRun'] {
   return period && {fromMs: now - period.from, toMs: now - period.to};
@@ -360,7 +360,7 @@
   {storeRun}: Heartbeat,
   askedAt: number,
   answeredAt: number,
-): AnswerRun | undefined {
+): AnswerPeriod | undefined {
   if (!storeRun) return undefined;
   const from = answeredAt - storeRun.fromMs;
   const to = askedAt - storeRun.toMs;
