--- a/src/decisions/store_answers.test.ts
+++ b/src/decisions/store_answers.test.ts
@@ -3,7 +3,7 @@
 import {describe, it} from 'node:test';
 import {
   shouldKeepMissing,
-  mergeRuns,
+  mergeAnswerPeriods,
   REGISTRATION_RETURN_MS,
 } from './store_answers.js';
 
@@ -14,17 +14,23 @@
 
   it('are merged unless a long silence lies between them', () => {
     const near = {from: held.to + LAPSE_MS - 1, to: 9000};
-    assert.deepEqual(mergeRuns(held, near, LAPSE_MS), {from: 1000, to: 9000});
-    assert.deepEqual(mergeRuns(near, held, LAPSE_MS), {from: 1000, to: 9000});
+    assert.deepEqual(mergeAnswerPeriods(held, near, LAPSE_MS), {
+      from: 1000,
+      to: 9000,
+    });
+    assert.deepEqual(mergeAnswerPeriods(near, held, LAPSE_MS), {
+      from: 1000,
+      to: 9000,
+    });
     const inside = {from: 2000, to: 3000};
-    assert.deepEqual(mergeRuns(held, inside, LAPSE_MS), held);
+    assert.deepEqual(mergeAnswerPeriods(held, inside, LAPSE_MS), held);
   });
 
   it('are replaced by the newer one after a long silence, in any order', () => {
     const newer = {from: held.to + LAPSE_MS, to: 9000};
-    assert.deepEqual(mergeRuns(held, newer, LAPSE_MS), newer);
-    assert.deepEqual(mergeRuns(newer, held, LAPSE_MS), newer);
-    assert.deepEqual(mergeRuns(undefined, held, LAPSE_MS), held);
+    assert.deepEqual(mergeAnswerPeriods(held, newer, LAPSE_MS), newer);
+    assert.deepEqual(mergeAnswerPeriods(newer, held, LAPSE_MS), newer);
+    assert.deepEqual(mergeAnswerPeriods(undefined, held, LAPSE_MS), held);
   });
 });
 
--- a/src/decisions/store_answers.ts
+++ b/src/decisions/store_answers.ts
@@ -27,7 +27,7 @@
  * Merges two periods, or returns the newer one if a silence of at least
  * `lapseMs` lies between them, the shortest in which a registration can lapse.
  */
-export function mergeRuns(
+export function mergeAnswerPeriods(
   held: AnswerPeriod | undefined,
   received: AnswerPeriod,
   lapseMs: number,
--- a/src/instance/members/endpoint_directory.ts
+++ b/src/instance/members/endpoint_directory.ts
@@ -8,7 +8,7 @@
 import type {Log} from '../../common/log.js';
 import {
   shouldKeepMissing,
-  mergeRuns,
+  mergeAnswerPeriods,
   REGISTRATION_RETURN_MS,
   type AnswerPeriod,
 } from '../../decisions/store_answers.js';
@@ -81,7 +81,8 @@
 
   function computeAnswerPeriod(): AnswerPeriod | undefined {
     return listReports().reduce(
-      (old, {storeRun}) => (storeRun ? mergeRuns(old, storeRun, lapseMs) : old),
+      (old, {storeRun}) =>
+        storeRun ? mergeAnswerPeriods(old, storeRun, lapseMs) : old,
       ownPeriod,
     );
   }
@@ -151,7 +152,7 @@
     expire,
     noteAnswer() {
       const now = clock.now();
-      ownPeriod = mergeRuns(ownPeriod, {from: now, to: now}, lapseMs);
+      ownPeriod = mergeAnswerPeriods(ownPeriod, {from: now, to: now}, lapseMs);
     },
     reset(registered) {
       isKnown = true;
