--- a/src/decisions/store_answers.test.ts
+++ b/src/decisions/store_answers.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {
-  shouldKeepMissing,
+  shouldRetainMissing,
   mergeAnswerPeriods,
   REGISTRATION_RETURN_MS,
 } from './store_answers.js';
@@ -39,13 +39,13 @@
 
   it('may have lapsed until it had time to return', () => {
     const until = period.from + REGISTRATION_RETURN_MS;
-    assert.equal(shouldKeepMissing(period, LAPSE_MS, until - 1), true);
-    assert.equal(shouldKeepMissing(period, LAPSE_MS, until), false);
+    assert.equal(shouldRetainMissing(period, LAPSE_MS, until - 1), true);
+    assert.equal(shouldRetainMissing(period, LAPSE_MS, until), false);
   });
 
   it('may have lapsed during a long silence', () => {
     const silent = period.to + LAPSE_MS;
-    assert.equal(shouldKeepMissing(period, LAPSE_MS, silent - 1), false);
-    assert.equal(shouldKeepMissing(period, LAPSE_MS, silent), true);
+    assert.equal(shouldRetainMissing(period, LAPSE_MS, silent - 1), false);
+    assert.equal(shouldRetainMissing(period, LAPSE_MS, silent), true);
   });
 });
--- a/src/decisions/store_answers.ts
+++ b/src/decisions/store_answers.ts
@@ -43,7 +43,7 @@
 /**
  * Whether a missing registration may have lapsed while its endpoint is alive.
  */
-export function shouldKeepMissing(
+export function shouldRetainMissing(
   {from, to}: AnswerPeriod,
   lapseMs: number,
   now: number,
--- a/src/instance/members/endpoint_directory.ts
+++ b/src/instance/members/endpoint_directory.ts
@@ -7,7 +7,7 @@
 import type {Clock} from '../../common/clock.js';
 import type {Log} from '../../common/log.js';
 import {
-  shouldKeepMissing,
+  shouldRetainMissing,
   mergeAnswerPeriods,
   REGISTRATION_RETURN_MS,
   type AnswerPeriod,
@@ -89,7 +89,7 @@
 
   function isLapsePossible(now: number): boolean {
     const period = computeAnswerPeriod();
-    return period !== undefined && shouldKeepMissing(period, lapseMs, now);
+    return period !== undefined && shouldRetainMissing(period, lapseMs, now);
   }
 
   function scheduleExpiry(now: number) {
