--- a/src/decisions/crash_suspects.ts
+++ b/src/decisions/crash_suspects.ts
@@ -37,7 +37,7 @@
 }
 
 /** The quarantine of a content, which is not sent to endpoints. */
-export interface HeldContent {
+export interface QuarantinedContent {
   crashes: number;
   /** When the quarantine ends, by the shared clock, in ms. */
   until: number;
@@ -88,7 +88,7 @@
 export function decideHeld(
   records: readonly CrashRecord[],
   now: number,
-): Map<string, HeldContent> {
+): Map<string, QuarantinedContent> {
   const crashes = collectCrashes(selectCounting(records, now));
   const weights = sumWeights(crashes);
   const candidates = [...weights.keys()].filter(
@@ -105,7 +105,7 @@
 function describeQuarantine(
   content: string,
   crashes: readonly Crash[],
-): HeldContent {
+): QuarantinedContent {
   const own = crashes
     .filter(({contents}) => contents.has(content))
     .toSorted((a, b) => a.endedAt - b.endedAt);
--- a/src/instance/quarantine/quarantine.ts
+++ b/src/instance/quarantine/quarantine.ts
@@ -16,7 +16,7 @@
   isCleared,
   selectCounting,
   type CrashRecord,
-  type HeldContent,
+  type QuarantinedContent,
 } from '../../decisions/crash_suspects.js';
 import type {CollectionWatch} from '../../stores/collections.js';
 import type {TableStore} from '../../stores/table_store.js';
@@ -80,7 +80,7 @@
     'requests_quarantined_total',
     'Runs refused because endpoints ended under the same content.',
   );
-  let quarantined = new Map<string, HeldContent>();
+  let quarantined = new Map<string, QuarantinedContent>();
   const store = createCrashStore({
     log,
     table,
@@ -163,7 +163,7 @@
     },
     describeState() {
       const now = readTime();
-      const isActive = ({until}: HeldContent) => until > now;
+      const isActive = ({until}: QuarantinedContent) => until > now;
       return {
         held: [...quarantined.values()].filter(isActive).length,
         ...store.describeState(),
