--- a/src/decisions/crash_suspects.test.ts
+++ b/src/decisions/crash_suspects.test.ts
@@ -4,7 +4,7 @@
 import {
   ANSWER_VALIDITY_MS,
   ANSWERED_WEIGHT,
-  decideHeld,
+  decideQuarantined,
   QUARANTINE_MS,
   QUARANTINE_WEIGHT,
   isCleared,
@@ -29,7 +29,7 @@
 }
 
 function listQuarantined(records: readonly CrashRecord[], now = 0): string[] {
-  return [...decideHeld(records, now).keys()].sort();
+  return [...decideQuarantined(records, now).keys()].sort();
 }
 
 describe('contents that crash endpoints', () => {
@@ -58,13 +58,13 @@
 
   it('are quarantined briefly at first, so that an answer can clear them', () => {
     const records = makeCrashes(['x'], ['x'], ['x']);
-    const {until, crashes} = decideHeld(records, 0).get('x')!;
+    const {until, crashes} = decideQuarantined(records, 0).get('x')!;
     assert.deepEqual([crashes, until], [3, 2 * PAUSE_MS + FIRST_QUARANTINE_MS]);
   });
 
   it('are quarantined for long once they crash another endpoint', () => {
     const records = makeCrashes(['x'], ['x'], ['x'], ['x']);
-    const {until, crashes} = decideHeld(records, 0).get('x')!;
+    const {until, crashes} = decideQuarantined(records, 0).get('x')!;
     assert.deepEqual([crashes, until], [4, 3 * PAUSE_MS + QUARANTINE_MS]);
     assert.deepEqual(listQuarantined(records, until), []);
   });
--- a/src/decisions/crash_suspects.ts
+++ b/src/decisions/crash_suspects.ts
@@ -85,7 +85,7 @@
 }
 
 /** Returns the quarantined contents at `now`, by the shared clock. */
-export function decideHeld(
+export function decideQuarantined(
   records: readonly CrashRecord[],
   now: number,
 ): Map<string, QuarantinedContent> {
--- a/src/instance/quarantine/quarantine.ts
+++ b/src/instance/quarantine/quarantine.ts
@@ -12,7 +12,7 @@
 import type {SharedTime} from '../../common/shared_time.js';
 import type {StateSource} from '../../common/state_dump.js';
 import {
-  decideHeld,
+  decideQuarantined,
   isCleared,
   selectCounting,
   type CrashRecord,
@@ -109,7 +109,7 @@
     }
     const before = quarantined;
     const now = readTime();
-    quarantined = decideHeld(records, now);
+    quarantined = decideQuarantined(records, now);
     for (const [content, {crashes: count, until}] of quarantined) {
       if (before.get(content)?.until === until) continue;
       const forMs = Math.round(until - now);
