--- a/src/decisions/crash_suspects.ts
+++ b/src/decisions/crash_suspects.ts
@@ -89,7 +89,7 @@
   records: readonly CrashRecord[],
   now: number,
 ): Map<string, QuarantinedContent> {
-  const crashes = collectCrashes(selectCounting(records, now));
+  const crashes = collectCrashes(selectRelevant(records, now));
   const weights = sumWeights(crashes);
   const candidates = [...weights.keys()].filter(
     content => weights.get(content)! >= QUARANTINE_WEIGHT,
@@ -150,7 +150,7 @@
 }
 
 /** Selects the records of contents whose last crash still counts. */
-export function selectCounting<Item extends CrashRecord>(
+export function selectRelevant<Item extends CrashRecord>(
   records: readonly Item[],
   now: number,
 ): Item[] {
--- a/src/instance/quarantine/quarantine.ts
+++ b/src/instance/quarantine/quarantine.ts
@@ -14,7 +14,7 @@
 import {
   decideQuarantined,
   isCleared,
-  selectCounting,
+  selectRelevant,
   type CrashRecord,
   type QuarantinedContent,
 } from '../../decisions/crash_suspects.js';
@@ -132,7 +132,7 @@
 
   function listExpired(now: number): CrashRecord[] {
     const records = store.list();
-    const counting = new Set(selectCounting(records, now));
+    const counting = new Set(selectRelevant(records, now));
     return records.filter(record => !counting.has(record));
   }
 
