--- a/src/decisions/item_work.test.ts
+++ b/src/decisions/item_work.test.ts
@@ -13,7 +13,7 @@
   it('is the missing part of a mean item at the observed speed', () => {
     const work = createItemWork();
     work.noteRun(100, 2000);
-    work.noteWhole(300);
+    work.noteComplete(300);
     assert.equal(work.estimateRest(0), 6000);
     assert.equal(work.estimateRest(200), 2000);
     assert.equal(work.estimateRest(400), 0);
@@ -22,7 +22,7 @@
   it('is not learned from a run with too few pieces', () => {
     const work = createItemWork();
     work.noteRun(100, 2000);
-    work.noteWhole(300);
+    work.noteComplete(300);
     work.noteRun(1, 90);
     assert.equal(work.estimateRest(0), 6000);
   });
--- a/src/decisions/item_work.ts
+++ b/src/decisions/item_work.ts
@@ -16,7 +16,7 @@
   /** Records a run that received `pieces` of an item's answer in `ranMs`. */
   noteRun(pieces: number, ranMs: number): void;
   /** Records the number of pieces of a complete answer. */
-  noteWhole(pieces: number): void;
+  noteComplete(pieces: number): void;
   /**
    * Remaining time of an item with `pieces` received, in ms; undefined if
    * unknown.
@@ -37,7 +37,7 @@
       if (pieces < MIN_PIECES_FOR_RATE) return;
       pieceMs = average(pieceMs, ranMs / pieces);
     },
-    noteWhole(pieces) {
+    noteComplete(pieces) {
       completePieces = average(completePieces, pieces);
     },
     estimateRest(pieces) {
--- a/src/instance/bundles/item_runner.ts
+++ b/src/instance/bundles/item_runner.ts
@@ -208,7 +208,7 @@
     );
     notifyQuarantine(task, content, ended, outcome);
     if (outcome.kind === 'complete')
-      workEstimator.noteWhole(text.pieces.length);
+      workEstimator.noteComplete(text.pieces.length);
     return outcome;
   }
 
