--- a/src/decisions/item_work.test.ts
+++ b/src/decisions/item_work.test.ts
@@ -5,18 +5,18 @@
 describe('the remaining time of an item', () => {
   it('is unknown before the first complete item', () => {
     const work = createItemWork();
-    assert.equal(work.estimateRest(0), undefined);
+    assert.equal(work.estimateRemaining(0), undefined);
     work.noteRun(100, 2000);
-    assert.equal(work.estimateRest(0), undefined);
+    assert.equal(work.estimateRemaining(0), undefined);
   });
 
   it('is the missing part of a mean item at the observed speed', () => {
     const work = createItemWork();
     work.noteRun(100, 2000);
     work.noteComplete(300);
-    assert.equal(work.estimateRest(0), 6000);
-    assert.equal(work.estimateRest(200), 2000);
-    assert.equal(work.estimateRest(400), 0);
+    assert.equal(work.estimateRemaining(0), 6000);
+    assert.equal(work.estimateRemaining(200), 2000);
+    assert.equal(work.estimateRemaining(400), 0);
   });
 
   it('is not learned from a run with too few pieces', () => {
@@ -24,6 +24,6 @@
     work.noteRun(100, 2000);
     work.noteComplete(300);
     work.noteRun(1, 90);
-    assert.equal(work.estimateRest(0), 6000);
+    assert.equal(work.estimateRemaining(0), 6000);
   });
 });
--- a/src/decisions/item_work.ts
+++ b/src/decisions/item_work.ts
@@ -21,7 +21,7 @@
    * Remaining time of an item with `pieces` received, in ms; undefined if
    * unknown.
    */
-  estimateRest(pieces: number): number | undefined;
+  estimateRemaining(pieces: number): number | undefined;
 }
 
 /** Creates an estimator without observations. */
@@ -40,7 +40,7 @@
     noteComplete(pieces) {
       completePieces = average(completePieces, pieces);
     },
-    estimateRest(pieces) {
+    estimateRemaining(pieces) {
       if (pieceMs === undefined || completePieces === undefined)
         return undefined;
       return Math.max(0, completePieces - pieces) * pieceMs;
--- a/src/instance/bundles/item_runner.ts
+++ b/src/instance/bundles/item_runner.ts
@@ -120,7 +120,7 @@
       model: '',
       deadline: Math.max(dueAt, clock.now() + MIN_TIME_TO_DEADLINE_MS),
       dueAt,
-      workMs: workEstimator.estimateRest(text.pieces.length),
+      workMs: workEstimator.estimateRemaining(text.pieces.length),
       promptTokens: item.promptTokens,
       answerTokens: item.answerTokens,
       prefixHashes: [],
