--- a/src/decisions/waiting_tokens.test.ts
+++ b/src/decisions/waiting_tokens.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {
   ENTRY_GRACE_MS,
-  isFitting,
+  hasRoomFor,
   updateEntry,
   type WaitingBundles,
 } from './waiting_tokens.js';
@@ -15,13 +15,13 @@
       a: {tokens: 60, left: 60, at: 0},
       b: {tokens: 50, left: 10, at: 0},
     };
-    assert.equal(isFitting(waiting, 'c', 30, MAX_TOKENS), true);
-    assert.equal(isFitting(waiting, 'c', 31, MAX_TOKENS), false);
-    assert.equal(isFitting(waiting, 'a', 60, MAX_TOKENS), true);
+    assert.equal(hasRoomFor(waiting, 'c', 30, MAX_TOKENS), true);
+    assert.equal(hasRoomFor(waiting, 'c', 31, MAX_TOKENS), false);
+    assert.equal(hasRoomFor(waiting, 'a', 60, MAX_TOKENS), true);
   });
 
   it('leave no room for a bundle larger than the bound', () => {
-    assert.equal(isFitting({}, 'a', MAX_TOKENS + 1, MAX_TOKENS), false);
+    assert.equal(hasRoomFor({}, 'a', MAX_TOKENS + 1, MAX_TOKENS), false);
   });
 });
 
--- a/src/decisions/waiting_tokens.ts
+++ b/src/decisions/waiting_tokens.ts
@@ -44,7 +44,7 @@
 /**
  * Whether a bundle fits beside the others; an existing entry of it is replaced.
  */
-export function isFitting(
+export function hasRoomFor(
   waiting: WaitingBundles,
   id: string,
   tokens: number,
--- a/src/instance/bundles/token_allowance.ts
+++ b/src/instance/bundles/token_allowance.ts
@@ -15,7 +15,7 @@
  */
 import type {SharedTime} from '../../common/shared_time.js';
 import {
-  isFitting,
+  hasRoomFor,
   updateEntry,
   type BundleView,
   type WaitingBundle,
@@ -97,10 +97,10 @@
     const stored = await store.fetchWaiting(account, route);
     let waiting = stored?.waiting ?? (await collectOpen(request, now));
     const isRowFull = Object.keys(waiting).length >= MAX_WAITING_BUNDLES;
-    if (isRowFull || !isFitting(waiting, id, tokens, maxTokens)) {
+    if (isRowFull || !hasRoomFor(waiting, id, tokens, maxTokens)) {
       waiting = await refreshEntries(waiting, now);
     }
-    if (!isFitting(waiting, id, tokens, maxTokens)) return 'full';
+    if (!hasRoomFor(waiting, id, tokens, maxTokens)) return 'full';
     if (Object.keys(waiting).length >= MAX_WAITING_BUNDLES) return 'full';
     const entry = {tokens, left: tokens, at: now};
     return (await store.putWaiting(account, route, stored?.version, {
