--- a/src/decisions/waiting_tokens.ts
+++ b/src/decisions/waiting_tokens.ts
@@ -33,7 +33,7 @@
 export type WaitingBundles = z.infer<typeof waitingBundlesSchema>;
 
 /** State of a bundle in the store; undefined if it does not exist. */
-export type BundleView =
+export type StoredBundleState =
   {isOpen: boolean; total: number; listed: number} | undefined;
 
 /**
@@ -62,7 +62,7 @@
  */
 export function updateEntry(
   entry: WaitingBundle,
-  seen: BundleView,
+  seen: StoredBundleState,
   now: number,
 ): WaitingBundle | undefined {
   if (!seen) return now - entry.at < ENTRY_GRACE_MS ? entry : undefined;
--- a/src/instance/bundles/token_allowance.ts
+++ b/src/instance/bundles/token_allowance.ts
@@ -17,7 +17,7 @@
 import {
   hasRoomFor,
   updateEntry,
-  type BundleView,
+  type StoredBundleState,
   type WaitingBundle,
   type WaitingBundles,
 } from '../../decisions/waiting_tokens.js';
@@ -124,7 +124,7 @@
   };
 }
 
-function toView(bundle: StoredBundle | undefined): BundleView {
+function toView(bundle: StoredBundle | undefined): StoredBundleState {
   if (!bundle) return undefined;
   const {state, total, listed} = bundle.fields;
   const isOpen = state === 'open';
