--- a/src/decisions/feed_pace.ts
+++ b/src/decisions/feed_pace.ts
@@ -40,7 +40,7 @@
  * Computes the hold of a feed in ms. `boundMs` is the time within which a
  * change must be noticed, also on a silent connection.
  */
-export function computeHold(role: FeedRole, boundMs: number): number {
+export function computeHoldMs(role: FeedRole, boundMs: number): number {
   const bounded = Math.max(MIN_HOLD_MS, boundMs - FEED_GRACE_MS);
   const holds: Record<FeedRole, number> = {
     sentinel: Math.min(SENTINEL_HOLD_MS, bounded),
--- a/src/stores/table_feed.ts
+++ b/src/stores/table_feed.ts
@@ -6,7 +6,7 @@
 import {waitFor, type Clock} from '../common/clock.js';
 import type {Log} from '../common/log.js';
 import {
-  computeHold,
+  computeHoldMs,
   computeRetryPause,
   FEED_GRACE_MS,
   type FeedRole,
@@ -90,7 +90,7 @@
   listener: FeedListener<Row>,
   {role, boundMs, pauseMs = 0}: FeedOptions,
 ): TableFeed {
-  const holdMs = computeHold(role, boundMs);
+  const holdMs = computeHoldMs(role, boundMs);
   let version: number | undefined;
   let isStopped = false;
   let isReachable: boolean | undefined;
