--- a/src/decisions/rate_member.ts
+++ b/src/decisions/rate_member.ts
@@ -41,7 +41,7 @@
   | {kind: 'unavailable'; retryAfterMs: number};
 
 /** The requests on one instance that wait for tokens of one bucket. */
-export interface RateMember {
+export interface TokenQueue {
   submit(id: number, now: number): MemberAction[];
   /** Records the response to a draw that was sent at `askedAt`. */
   noteAnswer(answer: DrawAnswer, askedAt: number, now: number): MemberAction[];
@@ -70,7 +70,7 @@
 }
 
 /** Creates an empty queue. */
-export function createRateMember(): RateMember {
+export function createRateMember(): TokenQueue {
   let waiting: WaitingRequest[] = [];
   let delayed: DelayedToken[] = [];
   let isDrawing = false;
--- a/src/instance/limits/rate_client.ts
+++ b/src/instance/limits/rate_client.ts
@@ -9,7 +9,7 @@
   createRateMember,
   type DrawAnswer,
   type MemberAction,
-  type RateMember,
+  type TokenQueue,
   type RateRefusal,
 } from '../../decisions/rate_member.js';
 import type {Members} from '../members/members.js';
@@ -31,7 +31,7 @@
 }
 
 interface BucketState {
-  machine: RateMember;
+  machine: TokenQueue;
   limits: BucketLimits;
   /** Addresses to ask, the likely holder first. */
   route: string[];
