--- a/src/decisions/rate_member.ts
+++ b/src/decisions/rate_member.ts
@@ -70,7 +70,7 @@
 }
 
 /** Creates an empty queue. */
-export function createRateMember(): TokenQueue {
+export function createTokenQueue(): TokenQueue {
   let waiting: WaitingRequest[] = [];
   let delayed: DelayedToken[] = [];
   let isDrawing = false;
--- a/src/instance/limits/rate_client.ts
+++ b/src/instance/limits/rate_client.ts
@@ -6,7 +6,7 @@
 import {chooseByRendezvous} from '../../decisions/instance_ranking.js';
 import type {BucketLimits} from '../../decisions/rate_bucket.js';
 import {
-  createRateMember,
+  createTokenQueue,
   type DrawAnswer,
   type MemberAction,
   type TokenQueue,
@@ -62,7 +62,7 @@
     const held = states.get(bucket);
     if (held) return held;
     const state: BucketState = {
-      machine: createRateMember(),
+      machine: createTokenQueue(),
       limits,
       route: [],
       pending: new Map(),
