--- a/src/decisions/rate_member.ts
+++ b/src/decisions/rate_member.ts
@@ -27,7 +27,7 @@
 export type RateRefusal = 'over-rate' | 'holder-unavailable';
 
 /** An action that the instance must carry out. */
-export type MemberAction =
+export type TokenQueueAction =
   /** Ask the holder for tokens. */
   | {kind: 'draw'; wanted: number}
   | {kind: 'grant'; id: number}
@@ -42,11 +42,15 @@
 
 /** The requests on one instance that wait for tokens of one bucket. */
 export interface TokenQueue {
-  submit(id: number, now: number): MemberAction[];
+  submit(id: number, now: number): TokenQueueAction[];
   /** Records the response to a draw that was sent at `askedAt`. */
-  noteAnswer(answer: DrawAnswer, askedAt: number, now: number): MemberAction[];
+  noteAnswer(
+    answer: DrawAnswer,
+    askedAt: number,
+    now: number,
+  ): TokenQueueAction[];
   /** Makes the decisions that depend on time. */
-  decide(now: number): MemberAction[];
+  decide(now: number): TokenQueueAction[];
   /** Returns when `decide` must be called next; undefined if it need not. */
   peekNext(): number | undefined;
   isIdle(): boolean;
@@ -83,11 +87,11 @@
     {id}: WaitingRequest,
     reason: RateRefusal,
     retryAfterMs: number,
-  ): MemberAction {
+  ): TokenQueueAction {
     return {kind: 'refuse', id, reason, retryAfterMs};
   }
 
-  function planDraw(): MemberAction[] {
+  function planDraw(): TokenQueueAction[] {
     if (isDrawing || waiting.length === 0) return [];
     isDrawing = true;
     drawAt = undefined;
@@ -95,7 +99,7 @@
     return [{kind: 'draw', wanted: requestedCount}];
   }
 
-  function finishToken(grant: OpenGrant, spent: boolean): MemberAction[] {
+  function finishToken(grant: OpenGrant, spent: boolean): TokenQueueAction[] {
     grant.remaining--;
     if (!spent) grant.unspent++;
     if (grant.remaining > 0) return [];
@@ -105,7 +109,7 @@
   /**
    * Uses a token that is due. If it has expired, its request waits for another.
    */
-  function finishDelayed(token: DelayedToken, now: number): MemberAction[] {
+  function finishDelayed(token: DelayedToken, now: number): TokenQueueAction[] {
     const {id, arrivedAt, grant} = token;
     if (now <= token.expiresAt) {
       return [{kind: 'grant', id}, ...finishToken(grant, true)];
@@ -118,7 +122,7 @@
     granted: BucketGrant,
     askedAt: number,
     now: number,
-  ): MemberAction[] {
+  ): TokenQueueAction[] {
     const count = granted.immediate + granted.delayed;
     const requests = waiting.splice(0, count);
     const grant: OpenGrant = {
@@ -150,7 +154,7 @@
     recovering: boolean,
     unservedCount: number,
     now: number,
-  ): MemberAction[] {
+  ): TokenQueueAction[] {
     if (unservedCount <= 0) return [];
     if (recovering) {
       drawAt = now + retryAfterMs;
@@ -161,7 +165,7 @@
     return left.map(request => refuse(request, 'over-rate', retryAfterMs));
   }
 
-  function refuseOverdue(now: number): MemberAction[] {
+  function refuseOverdue(now: number): TokenQueueAction[] {
     const overdue = waiting.filter(
       ({arrivedAt}) => now - arrivedAt >= MAX_TAKEOVER_WAIT_MS,
     );
@@ -171,7 +175,7 @@
     return overdue.map(request => refuse(request, reason, 1000));
   }
 
-  function finishDue(now: number): MemberAction[] {
+  function finishDue(now: number): TokenQueueAction[] {
     const due = delayed.filter(({dueAt}) => dueAt <= now);
     if (due.length === 0) return [];
     delayed = delayed.filter(({dueAt}) => dueAt > now);
@@ -194,7 +198,7 @@
     noteAnswer(answer, askedAt, now) {
       isDrawing = false;
       isUnavailable = answer.kind === 'unavailable';
-      const actions: MemberAction[] = [];
+      const actions: TokenQueueAction[] = [];
       if (answer.kind === 'unavailable') {
         drawAt = now + answer.retryAfterMs;
       } else {
--- a/src/instance/limits/rate_client.ts
+++ b/src/instance/limits/rate_client.ts
@@ -8,7 +8,7 @@
 import {
   createTokenQueue,
   type DrawAnswer,
-  type MemberAction,
+  type TokenQueueAction,
   type TokenQueue,
   type RateRefusal,
 } from '../../decisions/rate_member.js';
@@ -86,7 +86,7 @@
   function handleActions(
     bucket: string,
     state: BucketState,
-    actions: MemberAction[],
+    actions: TokenQueueAction[],
   ) {
     for (const action of actions) {
       switch (action.kind) {
