--- a/src/decisions/rate_view.ts
+++ b/src/decisions/rate_view.ts
@@ -98,7 +98,7 @@
 export interface HolderRight {
   notePromise(standby: string, askedAt: number): void;
   /** Makes the right permanent, after votes for the holder itself. */
-  noteOwned(): void;
+  notePermanent(): void;
   /** Ends the right: a standby took over, or this instance gave up the view. */
   noteLost(): void;
   readonly isLost: boolean;
@@ -122,7 +122,7 @@
       const until = askedAt + PROMISE_MS;
       promises.set(standby, Math.max(until, promises.get(standby) ?? until));
     },
-    noteOwned() {
+    notePermanent() {
       isRightOwned = true;
     },
     noteLost() {
--- a/src/instance/limits/own_view.ts
+++ b/src/instance/limits/own_view.ts
@@ -231,7 +231,7 @@
       const candidate = view.members[0].incarnation;
       votes.set(candidate, candidate);
       if (!isElected(view, candidate, votes) || right.isLost) return false;
-      right.noteOwned();
+      right.notePermanent();
       return true;
     },
     clear() {
--- a/src/instance/limits/takeovers.ts
+++ b/src/instance/limits/takeovers.ts
@@ -140,7 +140,7 @@
     const {view} = record;
     if (adoptedRuns.has(view.run)) return;
     const right = createHolderRight(view);
-    right.noteOwned();
+    right.notePermanent();
     const held = {view, right};
     adoptedRuns.set(view.run, held);
     for (const [id, tokens] of record.buckets) {
