--- a/src/decisions/rate_view.ts
+++ b/src/decisions/rate_view.ts
@@ -102,7 +102,7 @@
   /** Ends the right: a standby took over, or this instance gave up the view. */
   noteLost(): void;
   readonly isLost: boolean;
-  readonly isOwned: boolean;
+  readonly isPermanent: boolean;
   /**
    * Whether a grant made now expires before anyone else may act. A successor
    * then need not wait for old grants.
@@ -131,7 +131,7 @@
     get isLost() {
       return isRightLost;
     },
-    get isOwned() {
+    get isPermanent() {
       return isRightOwned;
     },
     canGrant(now) {
--- a/src/instance/limits/holder.ts
+++ b/src/instance/limits/holder.ts
@@ -197,7 +197,7 @@
     const now = clock.now();
     const input = {
       view: own.view,
-      owned: own.right.isOwned,
+      owned: own.right.isPermanent,
       buckets: maintenance.listOwn().map(({id, ledger, limits}) => ({
         bucket: id,
         limits,
--- a/src/instance/limits/own_view.ts
+++ b/src/instance/limits/own_view.ts
@@ -222,7 +222,7 @@
     },
     async takeOwnership() {
       if (!held || held.right.isLost) return false;
-      if (held.right.isOwned) return true;
+      if (held.right.isPermanent) return true;
       const {view, right} = held;
       const answers = await Promise.all(
         view.members.slice(1).map(member => fetchVote(view, member)),
