--- a/src/instance/dispatch/fleet_dispatch.ts
+++ b/src/instance/dispatch/fleet_dispatch.ts
@@ -38,7 +38,7 @@
   log: Log;
   metrics: Metrics;
   /** Whether this instance is without store access, so that its list is old. */
-  isBlind?: () => boolean;
+  isWithoutStoreAccess?: () => boolean;
 }
 
 /** Dispatch, with the operations for peers and periodic tasks. */
@@ -73,7 +73,7 @@
   peers,
   log,
   metrics,
-  isBlind: isWithoutStoreAccess = () => false,
+  isWithoutStoreAccess: isWithoutStoreAccess = () => false,
 }: FleetDispatchDependencies): FleetDispatch {
   const {self} = members;
   const held = createHeldSlots();
--- a/src/instance/gateway_parts.ts
+++ b/src/instance/gateway_parts.ts
@@ -182,7 +182,7 @@
     peers: peerClients,
     log,
     metrics,
-    isBlind: isWithoutStoreAccess,
+    isWithoutStoreAccess,
   });
   const ownerLimits = createOwnerLimits({
     clock,
