--- a/src/instance/bundles/item_runner.ts
+++ b/src/instance/bundles/item_runner.ts
@@ -148,7 +148,7 @@
   function checkStillAllowed(slot: Slot, {route}: ItemTask, content: string) {
     const isRouted = routing.findRouteByName(route) !== undefined;
     try {
-      quarantine.checkHeld(content);
+      quarantine.checkQuarantine(content);
     } catch (error) {
       slot.release({kind: 'cancelled', tokens: 0});
       throw error;
@@ -178,7 +178,7 @@
   ): Promise<ItemOutcome> {
     const request = buildRequest(task, route);
     const content = computeContentId(request);
-    quarantine.checkHeld(content);
+    quarantine.checkQuarantine(content);
     const slot = await acquireSlot(task, route, signal);
     if (!checkStillAllowed(slot, task, content)) return {kind: 'no-route'};
     const {text} = task;
--- a/src/instance/execution/slot_runner.ts
+++ b/src/instance/execution/slot_runner.ts
@@ -161,7 +161,7 @@
       // Each slot gets its own id. A late cancellation or response of the last
       // call must not affect this one, which may run on the same engine.
       if (slots > 0) callId = `${request.requestId}.${slots}`;
-      quarantine.checkHeld(content);
+      quarantine.checkQuarantine(content);
       try {
         const slot = await acquireSlot(
           dispatch,
@@ -184,7 +184,7 @@
       );
       call = buildCall(use.slot, abort.signal);
       request.authorize();
-      quarantine.checkHeld(content);
+      quarantine.checkQuarantine(content);
       progress.startAttempt();
       attempts = 1;
       mayRun = true;
--- a/src/instance/gateway/relay.ts
+++ b/src/instance/gateway/relay.ts
@@ -154,12 +154,12 @@
   async function runOnce(state: RequestState): Promise<RunEnd> {
     const {admitted, content, lifetime, relay} = state;
     const askedAt = clock.now();
-    quarantine.checkHeld(content);
+    quarantine.checkQuarantine(content);
     const slot = await acquireSlot(state);
     const startedAt = clock.now();
     try {
       checkStillAllowed(admitted);
-      quarantine.checkHeld(content);
+      quarantine.checkQuarantine(content);
     } catch (error) {
       slot.release({kind: 'cancelled', tokens: 0});
       throw error;
--- a/src/instance/quarantine/quarantine.ts
+++ b/src/instance/quarantine/quarantine.ts
@@ -33,7 +33,7 @@
   /** Whether the crash records of the fleet have been read. */
   isKnown(): boolean;
   /** Throws RouterError (not-run) for quarantined content. */
-  checkHeld(content: string): void;
+  checkQuarantine(content: string): void;
   /** Checks a run that lost its connection for a crash. */
   noteLoss: CrashWatch['noteLoss'];
   /** Records that an endpoint answered, so that the content caused no crash. */
@@ -138,7 +138,7 @@
 
   return {
     isKnown: store.isKnown,
-    checkHeld(content) {
+    checkQuarantine(content) {
       const found = quarantined.get(content);
       if (!found) return;
       const retryAfterMs = found.until - readTime();
--- a/src/testing/fixtures.ts
+++ b/src/testing/fixtures.ts
@@ -66,7 +66,7 @@
 
 /** Holds no content back. */
 export const IDLE_GUARD: ContentGuard = {
-  checkHeld() {},
+  checkQuarantine() {},
   async noteLoss() {},
   noteAnswered() {},
 };
