--- a/src/instance/gateway_instance.ts
+++ b/src/instance/gateway_instance.ts
@@ -176,7 +176,11 @@
     {name: 'refresh', everyMs: 1000, run: parts.refreshMembers},
     {name: 'slot-reports', everyMs: REPORT_INTERVAL_MS, run: dispatch.report},
     {name: 'routing-sync', everyMs: ROUTING_SYNC_INTERVAL_MS, run: syncRouting},
-    {name: 'quarantine', everyMs: QUARANTINE_UPKEEP_MS, run: quarantine.keep},
+    {
+      name: 'quarantine',
+      everyMs: QUARANTINE_UPKEEP_MS,
+      run: quarantine.runMaintenance,
+    },
     {name: 'bundles', everyMs: ADOPT_INTERVAL_MS, run: worker.poll},
     {
       name: 'retention',
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -130,7 +130,7 @@
       name: 'quarantine',
       everyMs: QUARANTINE_UPKEEP_MS,
       async run() {
-        await quarantine.keep();
+        await quarantine.runMaintenance();
         await crashWatch.poll();
       },
     },
--- a/src/instance/quarantine/quarantine.ts
+++ b/src/instance/quarantine/quarantine.ts
@@ -39,7 +39,7 @@
   /** Records that an endpoint answered, so that the content caused no crash. */
   noteAnswered(content: string): void;
   /** Writes pending records and removes expired ones. */
-  keep(): Promise<void>;
+  runMaintenance(): Promise<void>;
   stop(): void;
 }
 
@@ -156,7 +156,7 @@
       const own = store.find(content);
       if (own.length > 0) store.remove(own);
     },
-    async keep() {
+    async runMaintenance() {
       const expired = listExpired(readTime());
       if (expired.length > 0 && isKeeper()) store.remove(expired);
       await store.flush();
