--- a/src/instance/gateway_parts.ts
+++ b/src/instance/gateway_parts.ts
@@ -231,7 +231,7 @@
     table: relayed.table,
     watch,
     shards: CRASH_SHARDS,
-    isKeeper: () => members.rankInstances(CRASHES)[0]?.name === name,
+    isPruner: () => members.rankInstances(CRASHES)[0]?.name === name,
   });
   const connections = createEndpointConnections();
   const runDependencies = {
--- a/src/instance/instance_parts.ts
+++ b/src/instance/instance_parts.ts
@@ -146,7 +146,7 @@
     table: platform.table,
     watch: crashWatch,
     shards: 1,
-    isKeeper: () => members.rankInstances(CRASHES)[0]?.name === name,
+    isPruner: () => members.rankInstances(CRASHES)[0]?.name === name,
   });
   const execution = createExecution(
     clock,
--- a/src/instance/quarantine/quarantine.ts
+++ b/src/instance/quarantine/quarantine.ts
@@ -60,7 +60,7 @@
   /** Number of shards of the records. */
   shards: number;
   /** Whether this instance is the one that removes expired records. */
-  isKeeper: () => boolean;
+  isPruner: () => boolean;
 }
 
 /** Creates a quarantine, which starts to watch the fleet's records. */
@@ -72,7 +72,7 @@
   table,
   watch,
   shards,
-  isKeeper,
+  isPruner: isKeeper,
 }: QuarantineDependencies): Quarantine {
   /** Time of the last answer to each content here, on the shared clock. */
   const answeredAt = new LRUCache<string, number>({max: MAX_ANSWERED_CONTENTS});
