--- a/src/instance/gateway_instance.ts
+++ b/src/instance/gateway_instance.ts
@@ -23,7 +23,7 @@
 import {startPeerServer} from './peers/peer_server.js';
 import type {RoutingDocument} from './routing/routing_document.js';
 import {fetchNewerRouting} from './routing/routing_sync.js';
-import {QUARANTINE_UPKEEP_MS} from './quarantine/constants.js';
+import {QUARANTINE_MAINTENANCE_MS} from './quarantine/constants.js';
 import {splitListenAddress} from './settings.js';
 
 export interface GatewayInstanceDependencies {
@@ -178,7 +178,7 @@
     {name: 'routing-sync', everyMs: ROUTING_SYNC_INTERVAL_MS, run: syncRouting},
     {
       name: 'quarantine',
-      everyMs: QUARANTINE_UPKEEP_MS,
+      everyMs: QUARANTINE_MAINTENANCE_MS,
       run: quarantine.runMaintenance,
     },
     {name: 'bundles', everyMs: ADOPT_INTERVAL_MS, run: worker.poll},
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -24,7 +24,7 @@
 import {buildPeerRouter} from './peers/peer_router.js';
 import {startPeerServer} from './peers/peer_server.js';
 import {PROMISE_RENEWAL_MS} from '../decisions/rate_constants.js';
-import {QUARANTINE_UPKEEP_MS} from './quarantine/constants.js';
+import {QUARANTINE_MAINTENANCE_MS} from './quarantine/constants.js';
 import {splitListenAddress, type Settings} from './settings.js';
 import {createInstanceParts} from './instance_parts.js';
 
@@ -128,7 +128,7 @@
     {name: 'batch', everyMs: BATCH_POLL_MS, run: batch.poll},
     {
       name: 'quarantine',
-      everyMs: QUARANTINE_UPKEEP_MS,
+      everyMs: QUARANTINE_MAINTENANCE_MS,
       async run() {
         await quarantine.runMaintenance();
         await crashWatch.poll();
--- a/src/instance/quarantine/constants.ts
+++ b/src/instance/quarantine/constants.ts
@@ -4,7 +4,7 @@
 export const CRASH_SHARDS = 8;
 
 /** Interval at which pending records are written and expired ones removed. */
-export const QUARANTINE_UPKEEP_MS = 1000;
+export const QUARANTINE_MAINTENANCE_MS = 1000;
 
 /** Largest number of rows changed in one transaction. */
 export const MAX_ROWS_PER_WRITE = 50;
