--- a/src/instance/bundles/bundle_run.ts
+++ b/src/instance/bundles/bundle_run.ts
@@ -7,7 +7,7 @@
 import type {Log} from '../../common/log.js';
 import type {SharedTime} from '../../common/shared_time.js';
 import {StoreError} from '../../stores/table_store.js';
-import {HELD_ITEM_RETRY_MS} from '../quarantine/constants.js';
+import {QUARANTINED_ITEM_RETRY_MS} from '../quarantine/constants.js';
 import type {RoutingTable} from '../routing/routing_table.js';
 import type {StoredBundle} from './bundle_rows.js';
 import type {BundleStore} from './bundle_store.js';
@@ -184,7 +184,7 @@
     // A quarantined item must not be given up before the end of its lifetime,
     // unless an endpoint responds that it can never run it.
     held(state, {retryAfterMs}) {
-      retryLater(state, Math.min(retryAfterMs, HELD_ITEM_RETRY_MS));
+      retryLater(state, Math.min(retryAfterMs, QUARANTINED_ITEM_RETRY_MS));
     },
     'no-route'(state) {
       // This instance may have an older routing version than the one that
--- a/src/instance/quarantine/constants.ts
+++ b/src/instance/quarantine/constants.ts
@@ -19,4 +19,4 @@
 export const MAX_ANSWERED_CONTENTS = 1000;
 
 /** Interval at which a quarantined item checks whether it may run. */
-export const HELD_ITEM_RETRY_MS = 5000;
+export const QUARANTINED_ITEM_RETRY_MS = 5000;
