--- a/src/instance/batch/item_runner.ts
+++ b/src/instance/batch/item_runner.ts
@@ -13,7 +13,7 @@
 import type {
   Execution,
   ExecutionRequest,
-  WholeAnswer,
+  CompleteAnswer,
 } from '../execution/execution.js';
 import type {Limits} from '../limits/limits.js';
 import type {BatchMetrics} from './batch_metrics.js';
@@ -210,7 +210,7 @@
 function buildLine(
   item: BatchItem,
   requestId: string,
-  {status, payloads}: WholeAnswer,
+  {status, payloads}: CompleteAnswer,
 ): ItemLine {
   if (status === 200) {
     const body = collectCompletion(item.url, payloads);
--- a/src/instance/execution/execution.ts
+++ b/src/instance/execution/execution.ts
@@ -47,7 +47,7 @@
 }
 
 /** A complete response. */
-export interface WholeAnswer {
+export interface CompleteAnswer {
   status: number;
   headers: Record<string, string>;
   /** The data events in order. */
@@ -71,7 +71,7 @@
   collect(
     request: ExecutionRequest,
     onStarted?: () => void,
-  ): Promise<WholeAnswer>;
+  ): Promise<CompleteAnswer>;
 }
 
 /** Creates an execution that runs requests on the slots of `dispatch`. */
@@ -145,7 +145,7 @@
   return {
     run: request => runWatched(request, true) as AsyncIterable<EndpointEvent>,
     async collect(request, onStarted) {
-      const answer: WholeAnswer = {status: 0, headers: {}, payloads: []};
+      const answer: CompleteAnswer = {status: 0, headers: {}, payloads: []};
       for await (const event of runWatched(request, false)) {
         if (event.kind === 'restart') answer.payloads = [];
         if (event.kind === 'data') answer.payloads.push(event.payload);
--- a/src/testing/batch_fleet.ts
+++ b/src/testing/batch_fleet.ts
@@ -16,7 +16,7 @@
 import type {
   Execution,
   ExecutionRequest,
-  WholeAnswer,
+  CompleteAnswer,
 } from '../instance/execution/execution.js';
 import {createLocalLimits} from '../instance/limits/limits.js';
 import {
@@ -133,7 +133,7 @@
     async function collectAnswer(
       request: ExecutionRequest,
       onStarted?: () => void,
-    ): Promise<WholeAnswer> {
+    ): Promise<CompleteAnswer> {
       const {process, name} = getInstance();
       const content = readContent(request);
       await acquireSlot(request, process);
