--- a/src/instance/endpoints/connections.ts
+++ b/src/instance/endpoints/connections.ts
@@ -14,7 +14,7 @@
 /** The open connections to endpoints. */
 export interface EndpointConnections {
   /** Connections that stay open between calls, up to their maximum age. */
-  getKept(limits: EndpointLimits): Dispatcher;
+  getKeepAlive(limits: EndpointLimits): Dispatcher;
   /** A connection for one call, closed after it. */
   getFresh(limits: EndpointLimits): Dispatcher;
   /** Connections and running calls by endpoint address. */
@@ -45,7 +45,7 @@
   }
 
   return {
-    getKept: limits =>
+    getKeepAlive: limits =>
       findAgent(
         `${limits.connect_timeout}/${limits.max_connection_age}`,
         limits,
--- a/src/instance/endpoints/http_call.ts
+++ b/src/instance/endpoints/http_call.ts
@@ -39,7 +39,7 @@
       {
         dispatcher: call.freshConnection
           ? connections.getFresh(limits)
-          : connections.getKept(limits),
+          : connections.getKeepAlive(limits),
         method: call.method as Dispatcher.HttpMethod,
         headers: {...call.headers, [REQUEST_ID_HEADER]: call.requestId},
         body: call.body.length > 0 ? call.body : undefined,
--- a/src/instance/gateway_parts.ts
+++ b/src/instance/gateway_parts.ts
@@ -236,7 +236,7 @@
   const connections = createEndpointConnections();
   const runDependencies = {
     clock,
-    dispatcher: connections.getKept({
+    dispatcher: connections.getKeepAlive({
       connect_timeout: CONNECT_TIMEOUT_MS,
       max_connection_age: MAX_CONNECTION_AGE_MS,
     }),
