--- a/src/instance/bundles/item_runner.ts
+++ b/src/instance/bundles/item_runner.ts
@@ -203,7 +203,7 @@
     workEstimator.noteRun(newPieces, clock.now() - startedAt);
     const outcome = decideOutcome(
       ended,
-      reader.hasRest(),
+      reader.hasPartialEvent(),
       slot.endpoint.address,
     );
     notifyQuarantine(task, content, ended, outcome);
--- a/src/instance/bundles/item_text.ts
+++ b/src/instance/bundles/item_text.ts
@@ -20,7 +20,7 @@
   /** Throws when an event does not follow the last one by its id. */
   push(chunk: Buffer): void;
   /** Whether the bytes so far end within an event. */
-  hasRest(): boolean;
+  hasPartialEvent(): boolean;
 }
 
 export function createItemText(): ItemText {
@@ -45,7 +45,7 @@
       rest = (rest + decoded).slice(-2);
       parser.feed(decoded);
     },
-    hasRest: () => rest !== '' && !rest.endsWith('\n\n'),
+    hasPartialEvent: () => rest !== '' && !rest.endsWith('\n\n'),
   };
 }
 
--- a/src/instance/gateway/event_splitter.test.ts
+++ b/src/instance/gateway/event_splitter.test.ts
@@ -82,8 +82,8 @@
   it('detects a run that stopped inside an event', () => {
     const reader = createItemTextReader(createItemText());
     reader.push(Buffer.from(EVENTS[0]));
-    assert.equal(reader.hasRest(), false);
+    assert.equal(reader.hasPartialEvent(), false);
     reader.push(Buffer.from('id: 2\nda'));
-    assert.equal(reader.hasRest(), true);
+    assert.equal(reader.hasPartialEvent(), true);
   });
 });
