--- a/src/instance/bundles/bundle_worker.ts
+++ b/src/instance/bundles/bundle_worker.ts
@@ -58,7 +58,7 @@
    * Deletes bundles past their retention, in the shards for which this instance
    * ranks first.
    */
-  removeOld(): Promise<void>;
+  deleteExpired(): Promise<void>;
   /** Stores the progress of all bundles and releases them to other owners. */
   handOver(): Promise<void>;
 }
@@ -318,7 +318,7 @@
       ]);
       startItems();
     },
-    async removeOld() {
+    async deleteExpired() {
       const now = time.read();
       if (now === undefined) return;
       const before = now - BUNDLE_RETENTION_MS;
--- a/src/instance/bundles/bundles.test.ts
+++ b/src/instance/bundles/bundles.test.ts
@@ -585,7 +585,7 @@
       const aheadMs = 2 * BUNDLE_RETENTION_MS;
       fleet.live.delete('entry-1');
       const two = fleet.join('entry-2', findNoSlot, 'entry-2-1', aheadMs);
-      await two.worker.removeOld();
+      await two.worker.deleteExpired();
       assert.equal((await fleet.readAll(two)).results.length, 1);
     });
 
--- a/src/instance/gateway_instance.ts
+++ b/src/instance/gateway_instance.ts
@@ -185,7 +185,7 @@
     {
       name: 'retention',
       everyMs: RETENTION_INTERVAL_MS,
-      run: worker.removeOld,
+      run: worker.deleteExpired,
     },
   ]);
   log.info(
