--- a/src/instance/batch/constants.ts
+++ b/src/instance/batch/constants.ts
@@ -92,4 +92,4 @@
 export const MAX_CACHED_OWNERS = 1000;
 
 /** Interval at which the workers look for work. */
-export const BATCH_POLL_MS = 200;
+export const BATCH_POLL_INTERVAL_MS = 200;
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -8,7 +8,7 @@
 import {createAnswerLengths} from '../decisions/answer_length.js';
 import type {Platform} from '../stores/platform.js';
 import {StoreError} from '../stores/table_store.js';
-import {BATCH_POLL_MS} from './batch/constants.js';
+import {BATCH_POLL_INTERVAL_MS} from './batch/constants.js';
 import {startCallers} from './callers/callers.js';
 import {createIntents} from './callers/intents.js';
 import {POLL_INTERVAL_MS} from './configuration/constants.js';
@@ -125,7 +125,7 @@
     {name: 'limits', everyMs: PROMISE_RENEWAL_MS, run: limits.runRound},
     {name: 'slot-reports', everyMs: REPORT_INTERVAL_MS, run: dispatch.report},
     {name: 'observer', everyMs: OBSERVE_INTERVAL_MS, run: observer.poll},
-    {name: 'batch', everyMs: BATCH_POLL_MS, run: batch.poll},
+    {name: 'batch', everyMs: BATCH_POLL_INTERVAL_MS, run: batch.poll},
     {
       name: 'quarantine',
       everyMs: QUARANTINE_MAINTENANCE_MS,
--- a/src/tools/bench_batch/bench_batch.ts
+++ b/src/tools/bench_batch/bench_batch.ts
@@ -8,7 +8,7 @@
 import {createSystemClock, waitFor, type Clock} from '../../common/clock.js';
 import {createMetrics} from '../../common/metrics.js';
 import {createBatch, type Batch} from '../../instance/batch/batch.js';
-import {BATCH_POLL_MS} from '../../instance/batch/constants.js';
+import {BATCH_POLL_INTERVAL_MS} from '../../instance/batch/constants.js';
 import {openOutput} from '../../instance/batch/output_access.js';
 import {
   applyServiceDocument,
@@ -145,7 +145,7 @@
         await lease.renew(clock.now());
       }
       await batch.poll();
-      await waitFor(clock, BATCH_POLL_MS);
+      await waitFor(clock, BATCH_POLL_INTERVAL_MS);
     }
   }
   void pollUntilStopped();
