--- a/src/instance/configuration/configuration.ts
+++ b/src/instance/configuration/configuration.ts
@@ -27,7 +27,7 @@
   /** Reads the table once. Throws StoreError if it does not answer. */
   poll(): Promise<void>;
   /** Generation of the last change applied here; 0 before the first read. */
-  describeGeneration(): number;
+  getGeneration(): number;
   /**
    * Monotonic time as of which the table's content is known; -Infinity before
    * the first read.
@@ -104,7 +104,7 @@
       importUpdate(await fetchUpdate(table, state.getGeneration()));
       storeConfirmedAt = Math.max(storeConfirmedAt, askedAt);
     },
-    describeGeneration: () => state.getGeneration(),
+    getGeneration: () => state.getGeneration(),
     getStoreConfirmedAt: () => storeConfirmedAt,
     isStoreReachable: now => now - storeConfirmedAt <= STORE_REACHABLE_MS,
     importDocuments: importUpdate,
--- a/src/instance/configuration/peer_sync.ts
+++ b/src/instance/configuration/peer_sync.ts
@@ -90,7 +90,7 @@
    * parts, the fetch fails and the next poll starts again.
    */
   async function fetchAllParts(peer: ListedInstance): Promise<PeerUpdate> {
-    const after = configuration.describeGeneration();
+    const after = configuration.getGeneration();
     const first = await fetchFromPeer(peer, {after, skip: 0});
     const changes: Change[] = [...first.changes];
     for (let skip = first.next; skip !== undefined;) {
--- a/src/instance/instance_parts.ts
+++ b/src/instance/instance_parts.ts
@@ -81,7 +81,7 @@
     sendHeartbeat: (peer, heartbeat) =>
       peerClients.get(peer.address).members.heartbeat.mutate(heartbeat),
     readStatus: () => ({
-      generation: configuration.describeGeneration(),
+      generation: configuration.getGeneration(),
       storeReachable: configuration.isStoreReachable(clock.now()),
     }),
   });
--- a/src/tools/configuration/measure_configuration.ts
+++ b/src/tools/configuration/measure_configuration.ts
@@ -86,7 +86,7 @@
   });
   const isActive = () =>
     instances.every(
-      ({configuration}) => configuration.describeGeneration() >= generation,
+      ({configuration}) => configuration.getGeneration() >= generation,
     );
   while (!isActive()) await clock.advanceAsync(STEP_MS);
   return clock.now() - Math.min(committedAt, startedAt + 60_000);
