--- a/src/instance/batch/owner_check.ts
+++ b/src/instance/batch/owner_check.ts
@@ -39,7 +39,7 @@
       const cached = checks.get(incarnation);
       if (cached?.isExpired) return true;
       if (cached && now - cached.at < OWNER_CHECK_INTERVAL_MS) return false;
-      const isExpired = await observer.checkOver(incarnation, now);
+      const isExpired = await observer.checkExpired(incarnation, now);
       checks.delete(incarnation);
       checks.set(incarnation, {isExpired, at: now});
       evictOldest();
--- a/src/instance/limits/acquisition.ts
+++ b/src/instance/limits/acquisition.ts
@@ -175,7 +175,8 @@
   async function hasEnded(others: readonly ViewMember[]): Promise<boolean> {
     if (!isStoreUp()) return false;
     for (const {incarnation} of others) {
-      if (!(await observer.checkOver(incarnation, clock.now()))) return false;
+      if (!(await observer.checkExpired(incarnation, clock.now())))
+        return false;
     }
     return true;
   }
--- a/src/instance/members/instance_lease.test.ts
+++ b/src/instance/members/instance_lease.test.ts
@@ -16,7 +16,7 @@
     const observer = createLeaseObserver(table);
     for (let now = 0; now < 3 * LEASE_DURATION_MS; now += LEASE_RENEWAL_MS) {
       await lease.renew(now);
-      assert.equal(await observer.checkOver('run-a', now), false);
+      assert.equal(await observer.checkExpired('run-a', now), false);
     }
   });
 
@@ -29,8 +29,8 @@
     const lease = createInstanceLease(table, 'run-a');
     const observer = createLeaseObserver(table);
     await lease.renew(0);
-    assert.equal(await observer.checkOver('run-a', 0), false);
-    assert.equal(await observer.checkOver('run-a', LEASE_DURATION_MS), true);
+    assert.equal(await observer.checkExpired('run-a', 0), false);
+    assert.equal(await observer.checkExpired('run-a', LEASE_DURATION_MS), true);
     const outcome = await table.transact([lease.buildCheck()]);
     assert.deepEqual(outcome, {kind: 'conflict', index: 0});
     await lease.renew(LEASE_DURATION_MS);
@@ -56,8 +56,8 @@
     const lease = createInstanceLease(table, 'run-a', () => 'run-b');
     const observer = createLeaseObserver(table);
     await lease.renew(0);
-    await observer.checkOver('run-a', 0);
-    await observer.checkOver('run-a', LEASE_DURATION_MS);
+    await observer.checkExpired('run-a', 0);
+    await observer.checkExpired('run-a', LEASE_DURATION_MS);
     await lease.renew(LEASE_DURATION_MS);
     await lease.renew(LEASE_DURATION_MS + 1);
     assert.equal(lease.incarnation, 'run-b');
@@ -76,11 +76,11 @@
     const lease = createInstanceLease(platform.table, 'run-a');
     const observer = createLeaseObserver(platform.table);
     await lease.renew(0);
-    await observer.checkOver('run-a', 0);
+    await observer.checkExpired('run-a', 0);
     platform.faults.down = true;
-    await assert.rejects(observer.checkOver('run-a', 1_800_000));
+    await assert.rejects(observer.checkExpired('run-a', 1_800_000));
     platform.faults.down = false;
-    assert.equal(await observer.checkOver('run-a', 3_600_000), false);
+    assert.equal(await observer.checkExpired('run-a', 3_600_000), false);
     await lease.renew(3_600_500);
     assert.equal(lease.isHeld(3_601_000), true);
   });
@@ -100,6 +100,6 @@
     );
     assert.equal(predecessor, 'run-a');
     const observer = createLeaseObserver(table);
-    assert.equal(await observer.checkOver('run-a', 1), true);
+    assert.equal(await observer.checkExpired('run-a', 1), true);
   });
 });
--- a/src/instance/members/instance_lease.ts
+++ b/src/instance/members/instance_lease.ts
@@ -186,7 +186,7 @@
    * duration of a lease, on this instance's own clock, is set to `expired`
    * first.
    */
-  checkOver(incarnation: string, now: number): Promise<boolean>;
+  checkExpired(incarnation: string, now: number): Promise<boolean>;
 }
 
 interface Observation {
@@ -215,7 +215,7 @@
   }
 
   return {
-    async checkOver(incarnation, now) {
+    async checkExpired(incarnation, now) {
       const row = await readRow(buildLeaseKey(incarnation));
       if (!row || row.fields.state !== 'held') return true;
       const seen = observations.get(incarnation);
--- a/src/instance/orders/orderer.ts
+++ b/src/instance/orders/orderer.ts
@@ -91,7 +91,7 @@
         return;
       }
       fencing = undefined;
-      if (holder !== '' && !(await observer.checkOver(holder, now))) return;
+      if (holder !== '' && !(await observer.checkExpired(holder, now))) return;
       await takeRow(row, now);
     },
     findFencing: now => (isOwner() && lease.isHeld(now) ? fencing : undefined),
