--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -16,7 +16,7 @@
 import {spawnTasks} from './instance_tasks.js';
 import {HEARTBEAT_INTERVAL_MS} from './members/constants.js';
 import {
-  LEASE_RENEWAL_MS,
+  LEASE_RENEWAL_INTERVAL_MS,
   releasePredecessor,
 } from './members/instance_lease.js';
 import {startOperators} from './operators/operators.js';
@@ -114,7 +114,7 @@
     })),
     {
       name: 'lease',
-      everyMs: LEASE_RENEWAL_MS,
+      everyMs: LEASE_RENEWAL_INTERVAL_MS,
       run: () => lease.renew(clock.now()),
     },
     {
--- a/src/instance/members/instance_lease.test.ts
+++ b/src/instance/members/instance_lease.test.ts
@@ -5,7 +5,7 @@
   createInstanceLease,
   createLeaseObserver,
   LEASE_DURATION_MS,
-  LEASE_RENEWAL_MS,
+  LEASE_RENEWAL_INTERVAL_MS,
   releasePredecessor,
 } from './instance_lease.js';
 
@@ -14,7 +14,11 @@
     const {table} = createMemoryPlatform();
     const lease = createInstanceLease(table, 'run-a');
     const observer = createLeaseObserver(table);
-    for (let now = 0; now < 3 * LEASE_DURATION_MS; now += LEASE_RENEWAL_MS) {
+    for (
+      let now = 0;
+      now < 3 * LEASE_DURATION_MS;
+      now += LEASE_RENEWAL_INTERVAL_MS
+    ) {
       await lease.renew(now);
       assert.equal(await observer.checkExpired('run-a', now), false);
     }
@@ -45,10 +49,13 @@
     const lease = createInstanceLease(platform.table, 'run-a');
     await lease.renew(0);
     platform.faults.answersToLose = 1;
-    await assert.rejects(lease.renew(LEASE_RENEWAL_MS));
-    await lease.renew(2 * LEASE_RENEWAL_MS);
-    await lease.renew(2 * LEASE_RENEWAL_MS + 1);
-    assert.equal(lease.isHeld(LEASE_DURATION_MS + LEASE_RENEWAL_MS), true);
+    await assert.rejects(lease.renew(LEASE_RENEWAL_INTERVAL_MS));
+    await lease.renew(2 * LEASE_RENEWAL_INTERVAL_MS);
+    await lease.renew(2 * LEASE_RENEWAL_INTERVAL_MS + 1);
+    assert.equal(
+      lease.isHeld(LEASE_DURATION_MS + LEASE_RENEWAL_INTERVAL_MS),
+      true,
+    );
   });
 
   it('continues under a new incarnation after a lost lease', async () => {
--- a/src/instance/members/instance_lease.ts
+++ b/src/instance/members/instance_lease.ts
@@ -30,7 +30,7 @@
 export const LEASE_DURATION_MS = 30_000;
 
 /** 3 renewals per lease, so that two lost renewals do no harm. */
-export const LEASE_RENEWAL_MS = 10_000;
+export const LEASE_RENEWAL_INTERVAL_MS = 10_000;
 
 /**
  * The owner stops using its lease this long before others may take it over, so
--- a/src/instance/orders/orders.test.ts
+++ b/src/instance/orders/orders.test.ts
@@ -12,7 +12,7 @@
 import {
   createInstanceLease,
   LEASE_DURATION_MS,
-  LEASE_RENEWAL_MS,
+  LEASE_RENEWAL_INTERVAL_MS,
 } from '../members/instance_lease.js';
 import {
   ORDER_SETTLE_TIME_MS,
@@ -107,7 +107,7 @@
     const until = clock.now() + ms;
     while (clock.now() < until) {
       for (const member of members) {
-        if (clock.now() % LEASE_RENEWAL_MS === 0) await member.renew();
+        if (clock.now() % LEASE_RENEWAL_INTERVAL_MS === 0) await member.renew();
         await member.orders.poll().catch(error => {
           if (!(error instanceof StoreError)) throw error;
         });
@@ -149,7 +149,7 @@
     await fleet.runFor(60_000, member);
     assert.deepEqual(kinds(), ['set-version 4', 'unload-adapter gate']);
     const {writes} = fleet.platform.counts;
-    await fleet.runFor(LEASE_RENEWAL_MS, member);
+    await fleet.runFor(LEASE_RENEWAL_INTERVAL_MS, member);
     assert.equal(fleet.platform.counts.writes - writes, 1);
   });
 
--- a/src/testing/batch_fleet.ts
+++ b/src/testing/batch_fleet.ts
@@ -21,7 +21,7 @@
 import {createLocalLimits} from '../instance/limits/limits.js';
 import {
   createInstanceLease,
-  LEASE_RENEWAL_MS,
+  LEASE_RENEWAL_INTERVAL_MS,
 } from '../instance/members/instance_lease.js';
 import type {ObjectStore} from '../stores/object_store.js';
 import {createMemoryPlatform} from '../stand_ins/platform/memory_platform.js';
@@ -203,7 +203,7 @@
       },
     };
     instances.push(instance);
-    scheduleRepeatedly(process, LEASE_RENEWAL_MS, () =>
+    scheduleRepeatedly(process, LEASE_RENEWAL_INTERVAL_MS, () =>
       lease.renew(clock.now()),
     );
     scheduleRepeatedly(process, POLL_MS, () => batch.poll());
--- a/src/testing/limits_fleet.ts
+++ b/src/testing/limits_fleet.ts
@@ -16,7 +16,7 @@
 import {HEARTBEAT_INTERVAL_MS} from '../instance/members/constants.js';
 import {
   createInstanceLease,
-  LEASE_RENEWAL_MS,
+  LEASE_RENEWAL_INTERVAL_MS,
   releasePredecessor,
 } from '../instance/members/instance_lease.js';
 import {createMembers} from '../instance/members/members.js';
@@ -203,7 +203,7 @@
     network.joinDirectly(address, procedures, own.receive);
     runEvery(POLL_INTERVAL_MS, poll);
     runEvery(HEARTBEAT_INTERVAL_MS, () => members.sendHeartbeats());
-    runEvery(LEASE_RENEWAL_MS, () => lease.renew(own.now()));
+    runEvery(LEASE_RENEWAL_INTERVAL_MS, () => lease.renew(own.now()));
     runEvery(PROMISE_RENEWAL_MS, () => limits.runRound());
     return {
       name,
--- a/src/tools/measure_control.ts
+++ b/src/tools/measure_control.ts
@@ -11,7 +11,7 @@
 import {HEARTBEAT_INTERVAL_MS} from '../instance/members/constants.js';
 import {
   createInstanceLease,
-  LEASE_RENEWAL_MS,
+  LEASE_RENEWAL_INTERVAL_MS,
 } from '../instance/members/instance_lease.js';
 import {createMembers} from '../instance/members/members.js';
 import {createPeerClients} from '../instance/peers/peer_client.js';
@@ -100,7 +100,7 @@
   function startTasks() {
     runEvery(POLL_INTERVAL_MS, members.poll);
     runEvery(HEARTBEAT_INTERVAL_MS, members.sendHeartbeats);
-    runEvery(LEASE_RENEWAL_MS, () => lease.renew(clock.now()));
+    runEvery(LEASE_RENEWAL_INTERVAL_MS, () => lease.renew(clock.now()));
     runEvery(PROMISE_RENEWAL_MS, limits.runRound);
   }
 
