--- a/src/instance/gateway/protocols.ts
+++ b/src/instance/gateway/protocols.ts
@@ -17,7 +17,7 @@
   target: string;
   key: string | undefined;
   /** How long the caller waits after the request's arrival, in ms. */
-  patienceMs: number | undefined;
+  timeoutMs: number | undefined;
   /** Tokens of the prompt, and the estimated tokens of the answer. */
   promptTokens: number;
   answerTokens: number;
--- a/src/instance/gateway/request_state.ts
+++ b/src/instance/gateway/request_state.ts
@@ -65,7 +65,7 @@
   route,
   arrivedAt,
 }: AdmittedRequest): number {
-  const callerTimeoutMs = caller.patienceMs ?? DEFAULT_REQUEST_TIMEOUT_MS;
+  const callerTimeoutMs = caller.timeoutMs ?? DEFAULT_REQUEST_TIMEOUT_MS;
   return arrivedAt + Math.min(callerTimeoutMs, route.timeoutMs);
 }
 
