--- a/src/instance/gateway/protocols.ts
+++ b/src/instance/gateway/protocols.ts
@@ -73,7 +73,7 @@
   /** The endpoint's own response, with any status. */
   | {kind: 'answer'}
   /** The endpoint states that it did not run the request. */
-  | {kind: 'not-run'; isOtherEndpoint: boolean}
+  | {kind: 'not-run'; isMisdirected: boolean}
   /** Not a response to this request, or an incomplete one. */
   | {kind: 'mismatch'; reason: string};
 
