--- a/src/instance/callers/callers.ts
+++ b/src/instance/callers/callers.ts
@@ -41,7 +41,7 @@
 }
 
 /** The running HTTP interface for callers. */
-export interface Callers extends StateSource {
+export interface CallerServer extends StateSource {
   /** IP address and port it listens on. */
   address: string;
   /** From now on, connections close after their current response. */
@@ -58,7 +58,7 @@
   host: string,
   port: number,
   dependencies: CallerDependencies,
-): Promise<Callers> {
+): Promise<CallerServer> {
   const {clock, metrics = createMetrics()} = dependencies;
   const exchanges = createExchanges(clock, metrics);
   const handleExchange = createExchangeHandler(dependencies, metrics);
