--- a/src/instance/callers/callers.ts
+++ b/src/instance/callers/callers.ts
@@ -54,7 +54,7 @@
 }
 
 /** Starts to listen on `host` and `port`. */
-export async function startCallers(
+export async function startCallerServer(
   host: string,
   port: number,
   dependencies: CallerDependencies,
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -9,7 +9,7 @@
 import type {Platform} from '../stores/platform.js';
 import {StoreError} from '../stores/table_store.js';
 import {BATCH_POLL_INTERVAL_MS} from './batch/constants.js';
-import {startCallers} from './callers/callers.js';
+import {startCallerServer} from './callers/callers.js';
 import {createIntents} from './callers/intents.js';
 import {POLL_INTERVAL_MS} from './configuration/constants.js';
 import {OBSERVE_INTERVAL_MS, REPORT_INTERVAL_MS} from './dispatch/constants.js';
@@ -162,7 +162,7 @@
         draining ? 'draining' : keys.describeUnready(clock.now()),
     },
   );
-  const callers = await startCallers(
+  const callers = await startCallerServer(
     ...splitListenAddress(settings.listen.callers),
     {
       clock,
