--- a/src/instance/bundles/bundle_store.ts
+++ b/src/instance/bundles/bundle_store.ts
@@ -13,7 +13,7 @@
   type WaitingBundles,
 } from '../../decisions/waiting_tokens.js';
 import {buildPartition} from '../../stores/collections.js';
-import type {SmallObjects} from '../../stores/object_store.js';
+import type {SmallObjectStore} from '../../stores/object_store.js';
 import {
   StoreError,
   type Row,
@@ -125,7 +125,7 @@
 /** Creates a store that uses table rows and small objects. */
 export function createBundleStore(
   table: TableStore,
-  objects: SmallObjects,
+  objects: SmallObjectStore,
 ): BundleStore {
   async function changeRow(
     bundle: StoredBundle,
--- a/src/instance/gateway_parts.ts
+++ b/src/instance/gateway_parts.ts
@@ -10,7 +10,7 @@
 import {isWithoutStoreAccess} from '../decisions/blind_dispatcher.js';
 import type {CollectionWatch} from '../stores/collections.js';
 import type {ListedInstance} from '../stores/instance_list.js';
-import type {SmallObjects} from '../stores/object_store.js';
+import type {SmallObjectStore} from '../stores/object_store.js';
 import {StoreError, type TableStore} from '../stores/table_store.js';
 import {createBundleStore} from './bundles/bundle_store.js';
 import {createBundleWorker} from './bundles/bundle_worker.js';
@@ -44,7 +44,7 @@
   table: TableStore;
   /** The time of the store's clock. */
   time: SharedTime;
-  objects: SmallObjects;
+  objects: SmallObjectStore;
   watch: CollectionWatch;
   callers: CallerProtocol;
   endpoints: EndpointProtocol;
--- a/src/instance/peers/relayed_store.ts
+++ b/src/instance/peers/relayed_store.ts
@@ -10,7 +10,7 @@
  */
 import * as z from 'zod';
 import type {SharedTime} from '../../common/shared_time.js';
-import type {SmallObjects} from '../../stores/object_store.js';
+import type {SmallObjectStore} from '../../stores/object_store.js';
 import {StoreError, type TableStore} from '../../stores/table_store.js';
 import {PeerCallError} from './call_bounds.js';
 import {buildPeerRouterOf, peerProcedure} from './peer_procedures.js';
@@ -18,7 +18,7 @@
 /** Tables and objects of the store. */
 export interface StoreAccess {
   table: TableStore;
-  objects: SmallObjects;
+  objects: SmallObjectStore;
 }
 
 /** Direct access of an instance to the store. */
--- a/src/stores/object_store.ts
+++ b/src/stores/object_store.ts
@@ -51,7 +51,7 @@
 /**
  * The part of an object store that is needed for objects that fit into memory.
  */
-export interface SmallObjects {
+export interface SmallObjectStore {
   put(name: string, body: Uint8Array): Promise<void>;
   get(name: string): Promise<Buffer | undefined>;
   delete(name: string): Promise<void>;
