--- a/src/stand_ins/platform/memory_platform.ts
+++ b/src/stand_ins/platform/memory_platform.ts
@@ -13,7 +13,7 @@
   type PlatformFaults,
 } from './platform_faults.js';
 
-export {isMet} from '../../stores/table_store.js';
+export {isConditionMet as isMet} from '../../stores/table_store.js';
 export type {PlatformFaults} from './platform_faults.js';
 
 /** The in-memory platform with its controls. */
--- a/src/stand_ins/platform/memory_table.ts
+++ b/src/stand_ins/platform/memory_table.ts
@@ -3,7 +3,7 @@
 import {
   MAX_ROW_BYTES,
   MAX_TRANSACTION_OPERATIONS,
-  isMet,
+  isConditionMet,
   StoreError,
   type QueryRange,
   type Row,
@@ -62,7 +62,7 @@
     checkLimits(operations);
     gate.counts.rowsWritten += operations.length;
     const index = operations.findIndex(
-      operation => !isMet(operation.condition, findRow(operation.key)),
+      operation => !isConditionMet(operation.condition, findRow(operation.key)),
     );
     if (index >= 0) return {kind: 'conflict', index};
     for (const operation of operations) applyOperation(operation, writeId);
--- a/src/stores/table_store.ts
+++ b/src/stores/table_store.ts
@@ -58,7 +58,10 @@
 };
 
 /** Whether a row meets a condition. */
-export function isMet(condition: Condition, row: Row | undefined): boolean {
+export function isConditionMet(
+  condition: Condition,
+  row: Row | undefined,
+): boolean {
   const check = CONDITION_CHECKS[condition.kind] as (
     condition: Condition,
     row: Row | undefined,
