--- a/src/stores/store_feeds.ts
+++ b/src/stores/store_feeds.ts
@@ -22,7 +22,7 @@
     options: FeedOptions,
   ): () => void;
   /** Time since which any feed has no response; undefined if all have one. */
-  getLostAt(): number | undefined;
+  getUnreachableSince(): number | undefined;
   stop(): void;
 }
 
@@ -79,7 +79,7 @@
         unreachableSince.delete(table);
       };
     },
-    getLostAt: () =>
+    getUnreachableSince: () =>
       unreachableSince.size > 0
         ? Math.min(...unreachableSince.values())
         : undefined,
--- a/src/stores/table_feed.test.ts
+++ b/src/stores/table_feed.test.ts
@@ -138,10 +138,10 @@
       for (const awayMs of [5000, 5300, 5700, 6100, 7500]) {
         store.state.isSilent = true;
         await store.clock.advanceAsync(awayMs);
-        assert.notEqual(store.feeds.getLostAt(), undefined);
+        assert.notEqual(store.feeds.getUnreachableSince(), undefined);
         store.state.isSilent = false;
         await store.clock.advanceAsync(1500);
-        assert.equal(store.feeds.getLostAt(), undefined);
+        assert.equal(store.feeds.getUnreachableSince(), undefined);
         await store.clock.advanceAsync(4321);
       }
     });
