--- a/src/cli/commands/check.ts
+++ b/src/cli/commands/check.ts
@@ -5,7 +5,7 @@
 import {parseServiceDocument} from '../../instance/configuration/service_document.js';
 import {parseGatewaySettings} from '../../instance/gateway_settings.js';
 import {parseSettings} from '../../instance/settings.js';
-import {findSettingsKind} from '../settings_kind.js';
+import {detectSettingsKind} from '../settings_kind.js';
 
 const PARSERS: Record<string, (text: string, source: string) => unknown> = {
   settings: parseSettings,
@@ -51,5 +51,5 @@
 
 function detectKind(text: string): string {
   if (!/^\s*\[instance\]/m.test(text)) return 'service';
-  return findSettingsKind(text) === 'gateway' ? 'gateway' : 'settings';
+  return detectSettingsKind(text) === 'gateway' ? 'gateway' : 'settings';
 }
--- a/src/cli/commands/serve.ts
+++ b/src/cli/commands/serve.ts
@@ -10,7 +10,7 @@
 import {parseSettings, type Settings} from '../../instance/settings.js';
 import {createPlatform} from '../../stores/create_platform.js';
 import {awaitInterrupt} from '../interrupts.js';
-import {findSettingsKind, type SettingsKind} from '../settings_kind.js';
+import {detectSettingsKind, type SettingsKind} from '../settings_kind.js';
 
 const EXIT_SETTINGS = 2;
 const EXIT_START = 1;
@@ -57,7 +57,7 @@
 
   private findKind(file: string): SettingsKind {
     try {
-      return findSettingsKind(readFileSync(file, 'utf8'));
+      return detectSettingsKind(readFileSync(file, 'utf8'));
     } catch (error) {
       this.error((error as Error).message, {exit: EXIT_SETTINGS});
     }
--- a/src/cli/settings_kind.ts
+++ b/src/cli/settings_kind.ts
@@ -7,7 +7,7 @@
 export type SettingsKind = 'gateway' | 'instance';
 
 /** Only a gateway has the key `store` in the section `[platform]`. */
-export function findSettingsKind(text: string): SettingsKind {
+export function detectSettingsKind(text: string): SettingsKind {
   const section = /^\s*\[platform\]([^[]*)/m.exec(text)?.[1] ?? '';
   return /^\s*store\s*=/m.test(section) ? 'gateway' : 'instance';
 }
