--- a/src/decisions/blind_dispatcher.test.ts
+++ b/src/decisions/blind_dispatcher.test.ts
@@ -1,10 +1,7 @@
 /** Tests when a dispatcher that gets no updates on endpoints steps down. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {
-  STORE_LOSS_DETECTION_MS,
-  isWithoutStoreAccess,
-} from './blind_dispatcher.js';
+import {STORE_LOSS_DETECTION_MS, isWithoutStoreAccess} from './store_access.js';
 import {selectSettled, SETTLED_START_TOLERANCE_MS} from './instance_ranking.js';
 
 describe('a dispatcher that lost the store', () => {
--- a/src/instance/gateway_parts.ts
+++ b/src/instance/gateway_parts.ts
@@ -7,7 +7,7 @@
 import type {Log} from '../common/log.js';
 import type {Metrics} from '../common/metrics.js';
 import type {SharedTime} from '../common/shared_time.js';
-import {isWithoutStoreAccess} from '../decisions/blind_dispatcher.js';
+import {isWithoutStoreAccess} from '../decisions/store_access.js';
 import type {CollectionWatch} from '../stores/collections.js';
 import type {ListedInstance} from '../stores/instance_list.js';
 import type {SmallObjectStore} from '../stores/object_store.js';
