--- a/src/instance/limits/limits.ts
+++ b/src/instance/limits/limits.ts
@@ -3,7 +3,7 @@
 import type {Metrics} from '../../common/metrics.js';
 import type {StateSource} from '../../common/state_dump.js';
 import type {BucketLimits} from '../../decisions/rate_bucket.js';
-import type {RateRefusal} from '../../decisions/rate_member.js';
+import type {RateRefusal} from '../../decisions/token_queue.js';
 import type {TableStore} from '../../stores/table_store.js';
 import type {AccountLimits} from '../configuration/service_document.js';
 import {
--- a/src/instance/limits/rate_client.ts
+++ b/src/instance/limits/rate_client.ts
@@ -11,7 +11,7 @@
   type TokenQueueAction,
   type TokenQueue,
   type RateRefusal,
-} from '../../decisions/rate_member.js';
+} from '../../decisions/token_queue.js';
 import type {Members} from '../members/members.js';
 import {MAX_HOPS, RETRY_MS, SETTLE_DELAY_MS} from './constants.js';
 import type {DrawReply, SettleInput} from './limit_messages.js';
