--- a/src/decisions/store_access.test.ts
+++ b/src/decisions/store_access.test.ts
@@ -1,7 +1,7 @@
 /** Tests when a dispatcher that gets no updates on endpoints steps down. */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {STORE_LOSS_DETECTION_MS, isWithoutStoreAccess} from './store_access.js';
+import {STORE_LOSS_DETECTION_MS, hasLostStoreAccess} from './store_access.js';
 import {selectSettled, SETTLED_START_TOLERANCE_MS} from './instance_ranking.js';
 
 describe('a dispatcher that lost the store', () => {
@@ -16,7 +16,7 @@
       askedAt: lostAt + STORE_LOSS_DETECTION_MS - 1,
     };
     const late = {storeReachable: false, askedAt: lostAt + 9000};
-    assert.equal(isWithoutStoreAccess(lostAt, [early, late]), false);
+    assert.equal(hasLostStoreAccess(lostAt, [early, late]), false);
   });
 
   it('steps down once a peer reports that the store answers', () => {
@@ -24,7 +24,7 @@
       storeReachable: true,
       askedAt: lostAt + STORE_LOSS_DETECTION_MS,
     };
-    assert.equal(isWithoutStoreAccess(lostAt, [report]), true);
+    assert.equal(hasLostStoreAccess(lostAt, [report]), true);
   });
 
   it('continues when the store answers again', () => {
@@ -32,7 +32,7 @@
       storeReachable: true,
       askedAt: lostAt + STORE_LOSS_DETECTION_MS,
     };
-    assert.equal(isWithoutStoreAccess(undefined, [report]), false);
+    assert.equal(hasLostStoreAccess(undefined, [report]), false);
   });
 });
 
--- a/src/decisions/store_access.ts
+++ b/src/decisions/store_access.ts
@@ -29,7 +29,7 @@
  * Whether the store refuses this instance but answers a peer. `lostAt` is when
  * it stopped answering here; undefined if it still does.
  */
-export function isWithoutStoreAccess(
+export function hasLostStoreAccess(
   lostAt: number | undefined,
   reports: readonly StoreReport[],
 ): boolean {
--- a/src/instance/dispatch/fleet_dispatch.ts
+++ b/src/instance/dispatch/fleet_dispatch.ts
@@ -73,7 +73,7 @@
   peers,
   log,
   metrics,
-  isWithoutStoreAccess: isWithoutStoreAccess = () => false,
+  isWithoutStoreAccess = () => false,
 }: FleetDispatchDependencies): FleetDispatch {
   const {self} = members;
   const held = createHeldSlots();
--- a/src/instance/gateway_parts.ts
+++ b/src/instance/gateway_parts.ts
@@ -7,7 +7,7 @@
 import type {Log} from '../common/log.js';
 import type {Metrics} from '../common/metrics.js';
 import type {SharedTime} from '../common/shared_time.js';
-import {isWithoutStoreAccess} from '../decisions/store_access.js';
+import {hasLostStoreAccess} from '../decisions/store_access.js';
 import type {CollectionWatch} from '../stores/collections.js';
 import type {ListedInstance} from '../stores/instance_list.js';
 import type {SmallObjectStore} from '../stores/object_store.js';
@@ -169,7 +169,7 @@
 
   /** Whether the store answers other instances but not this one. */
   function isWithoutStoreAccess(): boolean {
-    return isWithoutStoreAccess(
+    return hasLostStoreAccess(
       platform.getStoreLostAt(),
       members.listWitnessReports(),
     );
--- a/src/instance/quarantine/quarantine.ts
+++ b/src/instance/quarantine/quarantine.ts
@@ -46,7 +46,7 @@
 /** The operations of the quarantine for requests that run. */
 export type ContentGuard = Pick<
   Quarantine,
-  'checkHeld' | 'noteLoss' | 'noteAnswered'
+  'checkQuarantine' | 'noteLoss' | 'noteAnswered'
 >;
 
 export interface QuarantineDependencies {
