--- a/src/testing/batch_fleet.ts
+++ b/src/testing/batch_fleet.ts
@@ -1,7 +1,8 @@
 /**
- * Instances that work batch jobs on virtual time over one platform in memory,
- * and an engine at the interface that runs requests. The engine keeps a record
- * of every run, so that a test can count what callers would be billed for.
+ * A fleet of instances that process batch jobs on virtual time. They share one
+ * in-memory platform, and a fake engine takes the place of the execution layer.
+ * The engine records every run, so that a test can count what callers would be
+ * billed for.
  */
 import assert from 'node:assert/strict';
 import {RouterError} from '../common/errors.js';
@@ -26,45 +27,48 @@
 import type {ObjectStore} from '../stores/object_store.js';
 import {createMemoryPlatform} from '../stand_ins/platform/memory_platform.js';
 import {ENGINE_DOCUMENT} from './fixtures.js';
-import {createProcess, type Process} from './pausable.js';
+import {
+  createPausableProcess,
+  type PausableProcess,
+} from './pausable_process.js';
 
 const POLL_MS = 200;
 const WALL_START = Date.parse('2026-01-05T18:00:00Z');
 
-/** What one item met. */
+/** One run of an item on the engine. */
 export interface ItemRun {
   instance: string;
   startedAt: number;
   ended: boolean;
 }
 
-/** Called with each item that begins; may kill its instance or throw. */
+/** Called when the run of an item starts; may kill the instance or throw. */
 export type ItemHook = (customId: string, instance: FleetInstance) => void;
 
 /** An instance of the fleet. */
 export interface FleetInstance {
   name: string;
   batch: Batch;
-  process: Process;
-  /** Asks for a graceful end; resolves when it has ended. */
+  process: PausableProcess;
+  /** Shuts the instance down gracefully; resolves when it has ended. */
   drain(): Promise<void>;
 }
 
-/** How the fleet begins. */
+/** Options of a fleet. */
 export interface FleetOptions {
   segmentItems?: number;
-  /** Items that the endpoints run at once. */
+  /** Number of items that the endpoints run at the same time. */
   slots?: number;
-  /** Time an item takes, in ms. */
+  /** Duration of an item, in ms. */
   itemMs?: number;
-  /** Lines added to the service document. */
+  /** Lines that are added to the service document. */
   document?: string;
 }
 
-/** A fleet with its controls. */
+/** A running fleet with the controls for a test. */
 export type BatchFleet = Awaited<ReturnType<typeof createBatchFleet>>;
 
-/** Starts without instances. */
+/** Creates a fleet that has no instances yet. */
 export async function createBatchFleet(options: FleetOptions = {}) {
   const {segmentItems = 4, itemMs = 1000, slots = 8, document = ''} = options;
   const clock = createVirtualClock(WALL_START);
@@ -73,7 +77,7 @@
   const instances: FleetInstance[] = [];
   const hooks = {
     onBegin: undefined as ItemHook | undefined,
-    /** Called before an instance writes an object; may pause it. */
+    /** Called before an instance writes an object; may pause the instance. */
     onObjectWrite: undefined as ((instance: FleetInstance) => void) | undefined,
   };
   await applyServiceDocument(
@@ -88,40 +92,46 @@
     return run;
   }
 
-  let free = slots;
-  const queue: {process: Process; resolve: () => void}[] = [];
+  let freeSlots = slots;
+  const waiters: {process: PausableProcess; resolve: () => void}[] = [];
 
-  /** Throws when the request ends while it waits. */
-  async function acquireSlot({signal}: ExecutionRequest, process: Process) {
-    if (free > 0) {
-      free--;
+  /** Waits for a free slot; throws when the request is aborted while it waits. */
+  async function acquireSlot(
+    {signal}: ExecutionRequest,
+    process: PausableProcess,
+  ) {
+    if (freeSlots > 0) {
+      freeSlots--;
       return;
     }
     await new Promise<void>((resolve, reject) => {
       const waiter = {process, resolve};
-      queue.push(waiter);
+      waiters.push(waiter);
       signal.addEventListener('abort', () => {
-        const place = queue.indexOf(waiter);
-        if (place < 0) return;
-        queue.splice(place, 1);
-        reject(buildCancelled('not-run'));
+        const index = waiters.indexOf(waiter);
+        if (index < 0) return;
+        waiters.splice(index, 1);
+        reject(buildCancelledError('not-run'));
       });
     });
   }
 
   function releaseSlot() {
-    const place = queue.findIndex(({process}) => !process.isDead());
-    if (place < 0) free++;
-    else queue.splice(place, 1)[0].resolve();
+    const index = waiters.findIndex(({process}) => !process.isDead());
+    if (index < 0) freeSlots++;
+    else waiters.splice(index, 1)[0].resolve();
   }
 
-  /** The endpoint frees its slot whatever becomes of the instance. */
+  /**
+   * Frees the slot when the item ends or is aborted, even when the instance is
+   * paused or dead by then, because the slot belongs to the endpoint.
+   */
   function scheduleRelease(request: ExecutionRequest): Promise<void> {
     return new Promise(resolve => {
-      let isHeld = true;
+      let hasSlot = true;
       function finishRun() {
-        if (isHeld) releaseSlot();
-        isHeld = false;
+        if (hasSlot) releaseSlot();
+        hasSlot = false;
         resolve();
       }
       clock.schedule(request.signal.aborted ? 0 : itemMs, finishRun);
@@ -145,23 +155,23 @@
       onStarted?.();
       await finished;
       await process.awaitRunning();
-      if (request.signal.aborted) throw buildCancelled('may-have-run');
+      if (request.signal.aborted) throw buildCancelledError('may-have-run');
       run.ended = true;
       const payloads = [buildChunk(request, content)];
       return {status: 200, headers: {}, payloads};
     }
     return {
       collect: collectAnswer,
-      run: () => assert.fail('batch reads whole answers'),
+      run: () => assert.fail('batch jobs use collect() only'),
       describeState: () => ({}),
     };
   }
 
-  function buildWatchedObjects(
-    process: Process,
+  function buildHookedObjects(
+    process: PausableProcess,
     getInstance: () => FleetInstance,
   ): ObjectStore {
-    const guarded = process.buildGuarded(platform.objects);
+    const guarded = process.buildPausable(platform.objects);
     return {
       ...guarded,
       get: (name, range) => guarded.get(name, range),
@@ -174,8 +184,8 @@
   }
 
   async function startInstance(name: string): Promise<FleetInstance> {
-    const process = createProcess(clock);
-    const table = process.buildGuarded(platform.table);
+    const process = createPausableProcess(clock);
+    const table = process.buildPausable(platform.table);
     const lease = createInstanceLease(table, `run-of-${name}`);
     const configuration = createConfiguration(table);
     await configuration.poll();
@@ -183,7 +193,7 @@
       clock: process.clock,
       platform: {
         table,
-        objects: buildWatchedObjects(process, () => instance),
+        objects: buildHookedObjects(process, () => instance),
         instances: platform.instances,
       },
       configuration,
@@ -222,21 +232,21 @@
   };
 }
 
-/** Runs `task` at once and again `everyMs` after each end. */
+/** Runs `task` now, and again `everyMs` after each run has ended. */
 function scheduleRepeatedly(
-  process: Process,
+  process: PausableProcess,
   everyMs: number,
   task: () => Promise<void>,
 ) {
   async function runOnce() {
-    // A store that gives no answer is met again the next time.
+    // After a store failure the next run tries again.
     await task().catch(() => {});
     process.clock.schedule(everyMs, () => void runOnce());
   }
   void runOnce();
 }
 
-function buildCancelled(verdict: Verdict): RouterError {
+function buildCancelledError(verdict: Verdict): RouterError {
   return new RouterError('cancelled', 'the caller is gone', {verdict});
 }
 
@@ -260,7 +270,7 @@
   );
 }
 
-/** Lines of a bundle whose items are called by `ids`. */
+/** Builds the lines of a bundle with one item for each of `ids`. */
 export function makeBundle(ids: readonly string[]): string {
   return ids
     .map(id =>
@@ -277,12 +287,12 @@
     .join('\n');
 }
 
-/** Ids `i0`, `i1` and so on. */
+/** Returns the ids `i0`, `i1` and so on. */
 export function makeIds(count: number): string[] {
   return Array.from({length: count}, (_, index) => `i${index}`);
 }
 
-/** An upload of `text`, cut into chunks of `chunkBytes`. */
+/** Creates an upload that delivers `text` in chunks of `chunkBytes`. */
 export function makeUpload(
   text: string,
   account = 'gate',
@@ -310,7 +320,7 @@
   };
 }
 
-/** A request for a job over `fileId`, due in a day. */
+/** Creates a request for a job over the file `fileId` that is due in 24 h. */
 export function makeJobRequest(
   fileId: string,
   overrides: Partial<JobRequest> = {},
@@ -329,7 +339,7 @@
   };
 }
 
-/** Uploads a bundle of `ids` and creates a job over it; returns its id. */
+/** Uploads a bundle of `ids` and creates a job over it; returns the job id. */
 export async function sendJob(
   {batch}: FleetInstance,
   ids: readonly string[],
--- a/src/testing/batch_oracle.ts
+++ b/src/testing/batch_oracle.ts
@@ -1,9 +1,9 @@
-/** What must hold of a job whatever happened while it was worked. */
+/** Checks that hold for a finished job, whatever failed while it was running. */
 import assert from 'node:assert/strict';
 import {openOutput} from '../instance/batch/output_access.js';
 import type {BatchFleet, FleetInstance} from './batch_fleet.js';
 
-/** A line of an output, as far as tests look at it. */
+/** The fields of an output line that tests check. */
 interface OutputLine {
   custom_id: string;
   response: {
@@ -13,7 +13,7 @@
   error: {code: string; verdict: string} | null;
 }
 
-/** The whole output as `instance` gives it. */
+/** Reads the complete output of a job through `instance`. */
 export async function readOutput(
   {batch}: FleetInstance,
   jobId: string,
@@ -25,7 +25,7 @@
   return Buffer.concat(parts).toString('utf8');
 }
 
-/** The lines of an output. */
+/** Parses the lines of an output. */
 export function parseOutput(text: string): OutputLine[] {
   return text
     .trimEnd()
@@ -34,9 +34,10 @@
 }
 
 /**
- * The job is completed; its output has one line for each item, in order, each
- * with the answer to its own item or an error; it is the same through every
- * instance and on each read; and the counts are those of its lines.
+ * Asserts that the job is completed and its output is complete: it has one line
+ * for each item, in order, and each line holds the answer to its own item or an
+ * error. Every running instance and every read return the same output, and the
+ * counts of the job record match its lines.
  */
 export async function assertWholeOnce(
   fleet: BatchFleet,
--- a/src/testing/call_fleet.ts
+++ b/src/testing/call_fleet.ts
@@ -1,4 +1,7 @@
-/** Instances, endpoints and a platform in one process, for whole sessions. */
+/**
+ * Starts instances, endpoints and a platform in one process, for tests that run
+ * a complete session over HTTP.
+ */
 import {request} from 'undici';
 import {createSystemClock} from '../common/clock.js';
 import {createSilentLog, type Log} from '../common/log.js';
@@ -47,36 +50,36 @@
 `,
 ];
 
-/** An answer as a caller reads it. */
+/** A response as the caller receives it. */
 export interface CallAnswer {
   status: number;
   headers: Record<string, string>;
   text: string;
 }
 
-/** What a call is sent with beside its path. */
+/** Options of a call. */
 export interface CallOptions {
   method?: 'GET' | 'POST' | 'DELETE';
   body?: string | object;
   headers?: Record<string, string>;
-  /** Which instance it is sent to. */
+  /** Index of the instance that the call is sent to. */
   instance?: number;
   key?: string;
   signal?: AbortSignal;
 }
 
-/** The running fleet. */
+/** A running fleet with the controls for a test. */
 export interface CallFleet {
   platform: MemoryPlatform;
   instances: Instance[];
   engines: EngineServer[];
   service: ServiceServer;
-  /** Keys of the accounts gate and planner. */
+  /** API keys of the accounts `gate` and `planner`. */
   keys: Record<'gate' | 'planner', {keyId: string; secret: string}>;
-  /** Lists the engines anew, those in `leaving` as leaving. */
+  /** Updates the platform's list; engines in `leaving` get the state `leaving`. */
   listEndpoints(leaving?: readonly EngineServer[]): void;
   send(path: string, options?: CallOptions): Promise<CallAnswer>;
-  /** The head of the answer, and its text piece by piece. */
+  /** Returns the status at once, and the body as a stream of chunks. */
   open(
     path: string,
     options?: CallOptions,
@@ -84,16 +87,16 @@
   stop(): Promise<void>;
 }
 
-/** What a fleet is made of. */
+/** Options of a fleet. */
 export interface CallFleetOptions {
   instances?: number;
   engines?: number;
   log?: Log;
-  /** Longest wait of a shutdown for open requests, in ms. */
+  /** Maximum time that a shutdown waits for open requests, in ms. */
   drainMs?: number;
 }
 
-/** Starts a fleet with documents and keys in force. */
+/** Starts a fleet that has its service documents and API keys. */
 export async function startCallFleet({
   instances: instanceCount = 1,
   engines: engineCount = 1,
@@ -174,13 +177,13 @@
   };
 }
 
-/** A chat question as a caller sends it. */
+/** Creates the body of a chat request. */
 export function makeQuestion(content: string, stream: boolean): object {
   const messages = [{role: 'user', content}];
   return {model: 'drum-reader-7b', stream, messages};
 }
 
-/** The text of a streamed answer, and its last event. */
+/** Returns the text of a streamed response, and its last event. */
 export function readStream(text: string): {content: string; last: string} {
   const events = text.split('\n\n').filter(event => event !== '');
   const contents = events
@@ -189,7 +192,7 @@
   return {content: contents.join(''), last: events.at(-1) ?? ''};
 }
 
-/** An answer as golden files show it: status, telling headers, body. */
+/** Formats a response for a golden file: status, selected headers, body. */
 export function formatAnswer({status, headers, text}: CallAnswer): string {
   const shown = ['x-mulberry-verdict', 'retry-after', 'idempotent-replayed']
     .filter(name => headers[name] !== undefined)
--- a/src/testing/configuration_fleet.ts
+++ b/src/testing/configuration_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * A fleet of which only configuration and keys run, on virtual time: one
- * platform in memory, instances that poll it and ask each other in process,
- * and cuts between any of them.
+ * A fleet on virtual time that runs only the configuration and the keys. The
+ * instances poll one in-memory platform and call each other in process. A test
+ * can disconnect an instance from the store, from its peers, or from both.
  */
 import {waitFor} from '../common/clock.js';
 import {createVirtualClock} from '../common/virtual_clock.js';
@@ -26,36 +26,36 @@
 } from '../stand_ins/platform/memory_platform.js';
 import type {ListedInstance} from '../stores/instance_list.js';
 
-/** A call to a peer that is cut off is given up after so long. */
+/** Timeout of a call to a peer that is disconnected. */
 const CALL_TIMEOUT_MS = 1500;
 
-/** One instance of the fleet, with its cuts. */
+/** One instance of the fleet, with its simulated faults. */
 export interface ConfiguredInstance {
   name: string;
   failureDomain: string;
   configuration: Configuration;
   keys: KeyDirectory;
   peerSync: PeerSync;
-  /** Cut off from the table. */
+  /** Whether the instance is disconnected from the table store. */
   cutFromStore: boolean;
-  /** Cut off from every other instance. */
+  /** Whether the instance is disconnected from every other instance. */
   cutFromPeers: boolean;
-  /** Found silent by the others' heartbeats. */
+  /** Whether the other instances miss its heartbeats and suspect it. */
   isSuspected: boolean;
-  /** Calls it answered to peers. */
+  /** Number of peer calls that the instance answered. */
   asked: number;
 }
 
-/** A fleet with its controls. */
+/** A fleet with the controls for a test. */
 export type ConfigurationFleet = ReturnType<typeof createConfigurationFleet>;
 
-/** One instance in each of `failureDomains`, which may repeat. */
+/** Starts one instance for each entry of `failureDomains`; entries may repeat. */
 export function createConfigurationFleet(failureDomains: readonly string[]) {
   const clock = createVirtualClock(1_790_000_000_000);
   const platform: MemoryPlatform = createMemoryPlatform(clock);
   const instances: ConfiguredInstance[] = [];
 
-  function describeListed({
+  function buildListedInstance({
     name,
     failureDomain,
   }: ConfiguredInstance): ListedInstance {
@@ -69,10 +69,11 @@
     };
   }
 
-  function buildGuarded(isCut: () => boolean): TableStore {
+  function buildTable(isDisconnected: () => boolean): TableStore {
     const {table} = platform;
     const check = async () => {
-      if (isCut()) throw new StoreError('cut off', 'none');
+      if (isDisconnected())
+        throw new StoreError('instance is disconnected from the store', 'none');
     };
     return {
       get: async key => (await check(), table.get(key)),
@@ -84,27 +85,27 @@
     };
   }
 
-  async function askPeer(
+  async function fetchDocuments(
     from: ConfiguredInstance,
     to: ConfiguredInstance,
     {after, skip}: {after: number; skip: number},
   ) {
     if (from.cutFromPeers || to.cutFromPeers) {
       await waitFor(clock, CALL_TIMEOUT_MS);
-      throw new Error('no answer');
+      throw new Error('peer call timed out');
     }
     to.asked++;
-    const age = clock.now() - to.peerSync.getConfirmedAt();
+    const ageMs = clock.now() - to.peerSync.getConfirmedAt();
     return {
       ...to.configuration.exportDocuments(after, skip),
-      confirmedMsAgo: Number.isFinite(age) ? age : null,
+      confirmedMsAgo: Number.isFinite(ageMs) ? ageMs : null,
     };
   }
 
-  /** Starts an instance whose polls begin `offsetMs` from now. */
+  /** Starts an instance that polls for the first time in `offsetMs`. */
   function startInstance(failureDomain: string, offsetMs: number) {
     const name = `entry-${instances.length + 1}`;
-    const table = buildGuarded(() => instance.cutFromStore);
+    const table = buildTable(() => instance.cutFromStore);
     const configuration = createConfiguration(table, {clock});
     const peerSync = createPeerSync({
       clock,
@@ -114,9 +115,9 @@
         instances.some(one => one.name === other && one.isSuspected),
       configuration,
       listPeers: () =>
-        instances.filter(one => one !== instance).map(describeListed),
+        instances.filter(one => one !== instance).map(buildListedInstance),
       fetchFromPeer: (peer, request) =>
-        askPeer(
+        fetchDocuments(
           instance,
           instances.find(one => one.name === peer.name)!,
           request,
@@ -144,12 +145,12 @@
       asked: 0,
     };
     instances.push(instance);
-    const repeat = async (task: () => Promise<void>) => {
+    const runRepeatedly = async (task: () => Promise<void>) => {
       await task().catch(() => {});
-      clock.schedule(POLL_INTERVAL_MS, () => repeat(task));
+      clock.schedule(POLL_INTERVAL_MS, () => runRepeatedly(task));
     };
-    clock.schedule(offsetMs, () => repeat(configuration.poll));
-    clock.schedule(offsetMs, () => repeat(peerSync.poll));
+    clock.schedule(offsetMs, () => runRepeatedly(configuration.poll));
+    clock.schedule(offsetMs, () => runRepeatedly(peerSync.poll));
     return instance;
   }
 
--- a/src/testing/fake_peer_network.ts
+++ b/src/testing/fake_peer_network.ts
@@ -1,74 +1,76 @@
 /**
- * Peers in memory, on virtual time: calls take time, can be lost, doubled, late
- * or cut for each pair, and go through the real procedures and their schemas.
+ * An in-memory network between peers, on virtual time. Messages take time, and
+ * can be lost, duplicated or delayed; any pair of addresses can be disconnected.
+ * Calls go through the real procedures and their schemas.
  */
 import type {Clock} from '../common/clock.js';
 import type {PeerClient} from '../instance/peers/peer_client.js';
 import type {PeerContext} from '../instance/peers/peer_procedures.js';
 import type {PeerRouter} from '../instance/peers/peer_router.js';
 
-/** What befalls one message on its way. */
-export interface MessageFate {
+/** The delivery outcome of one message. */
+export interface DeliveryOutcome {
   lost: boolean;
-  /** Arrives this many times more, each after its own delay. */
+  /** Number of duplicates; each arrives after a delay of its own. */
   copies: number;
   delayMs: number;
 }
 
-/** Decides the fate of a message; called once for each copy's delay. */
-export type FatePolicy = (from: string, to: string) => MessageFate;
+/** Chooses the outcome of a message; called again for each duplicate's delay. */
+export type DeliveryPolicy = (from: string, to: string) => DeliveryOutcome;
 
-/** The network between instances of one test. */
+/** The network between the instances of one test. */
 export interface FakePeerNetwork {
-  /** Attaches an instance; `router` answers calls to `address`. */
+  /** Attaches an instance; `router` handles the calls to `address`. */
   join(address: string, router: PeerRouter): void;
   /**
-   * The same with bare procedures, for long runs. What arrives is handed to
-   * `receive`, which may keep it while the instance is paused.
+   * Attaches an instance by its procedures, without a router, which is faster
+   * in long runs. Each arriving message is passed to `receive`, which may delay
+   * it while the instance is paused.
    */
   joinDirectly(
     address: string,
     procedures: ProcedureTable,
     receive: (deliver: () => void) => void,
   ): void;
-  /** The instance is gone: calls to it stay without an answer. */
+  /** Detaches an instance; calls to it get no response. */
   remove(address: string): void;
-  /** The client of the peer at `to`, as used by the instance at `from`. */
+  /** Creates the client that the instance at `from` uses to call `to`. */
   createClient(from: PeerSender, to: string): PeerClient;
-  /** Cuts or mends all messages between two addresses, both ways. */
+  /** Blocks or restores messages between two addresses, in both directions. */
   setCut(a: string, b: string, cut: boolean): void;
-  setFate(policy: FatePolicy): void;
-  /** Messages that were sent, and their size as JSON. */
+  setFate(policy: DeliveryPolicy): void;
+  /** Number of messages sent, and their total size as JSON. */
   counts: {messages: number; bytes: number};
 }
 
-/** Who sends. */
+/** The instance that sends a call. */
 export interface PeerSender extends PeerContext {
   address: string;
 }
 
-const DEFAULT_FATE: MessageFate = {lost: false, copies: 0, delayMs: 0.5};
+const DEFAULT_OUTCOME: DeliveryOutcome = {lost: false, copies: 0, delayMs: 0.5};
 
-/** Procedures by feature and name. */
+/** Procedures by feature and procedure name. */
 export type ProcedureTable = Record<
   string,
   Record<string, (input: never) => unknown>
 >;
 
-interface Station {
+interface AttachedInstance {
   findProcedures(sender: PeerSender): ProcedureTable;
   receive(deliver: () => void): void;
 }
 
-/** Starts empty; every message takes half a millisecond. */
+/** Creates a network without instances; every message takes 0.5 ms. */
 export function createFakePeerNetwork(
   clock: Clock,
   callTimeoutMs: number,
 ): FakePeerNetwork {
-  const stations = new Map<string, Station>();
+  const attachedInstances = new Map<string, AttachedInstance>();
   const cuts = new Set<string>();
   const counts = {messages: 0, bytes: 0};
-  let chooseFate: FatePolicy = () => DEFAULT_FATE;
+  let chooseOutcome: DeliveryPolicy = () => DEFAULT_OUTCOME;
 
   function sendMessage(
     from: string,
@@ -78,31 +80,31 @@
   ) {
     counts.messages++;
     counts.bytes += JSON.stringify(payload ?? null).length;
-    const first = chooseFate(from, to);
+    const first = chooseOutcome(from, to);
     if (first.lost) return;
     for (let copy = 0; copy <= first.copies; copy++) {
-      const {delayMs} = copy === 0 ? first : chooseFate(from, to);
+      const {delayMs} = copy === 0 ? first : chooseOutcome(from, to);
       clock.schedule(delayMs, () => {
         if (cuts.has(buildPairId(from, to))) return;
-        stations.get(to)?.receive(deliver);
+        attachedInstances.get(to)?.receive(deliver);
       });
     }
   }
 
-  async function respondCall(
+  async function respondToCall(
     sender: PeerSender,
     to: string,
     path: [string, string],
     input: unknown,
     settle: {resolve(value: unknown): void; reject(error: unknown): void},
   ) {
-    const station = stations.get(to);
-    if (!station) return;
-    const procedures = station.findProcedures(sender);
+    const recipient = attachedInstances.get(to);
+    if (!recipient) return;
+    const procedures = recipient.findProcedures(sender);
     try {
       const copy = structuredClone(input) as never;
       const answer = await procedures[path[0]][path[1]](copy);
-      if (stations.get(to) !== station) return;
+      if (attachedInstances.get(to) !== recipient) return;
       sendMessage(to, sender.address, answer, () => settle.resolve(answer));
     } catch (error) {
       sendMessage(to, sender.address, null, () => settle.reject(error));
@@ -118,10 +120,10 @@
     return new Promise((resolve, reject) => {
       clock.schedule(callTimeoutMs, () => {
         const fail = () => reject(new Error('call timed out'));
-        stations.get(sender.address)?.receive(fail);
+        attachedInstances.get(sender.address)?.receive(fail);
       });
       sendMessage(sender.address, to, input, () => {
-        void respondCall(sender, to, path, input, {resolve, reject});
+        void respondToCall(sender, to, path, input, {resolve, reject});
       });
     });
   }
@@ -129,16 +131,19 @@
   return {
     counts,
     join(address, router) {
-      stations.set(address, {
+      attachedInstances.set(address, {
         findProcedures: sender =>
           router.createCaller(sender) as unknown as ProcedureTable,
         receive: deliver => deliver(),
       });
     },
     joinDirectly(address, procedures, receive) {
-      stations.set(address, {findProcedures: () => procedures, receive});
+      attachedInstances.set(address, {
+        findProcedures: () => procedures,
+        receive,
+      });
     },
-    remove: address => void stations.delete(address),
+    remove: address => void attachedInstances.delete(address),
     setCut(a, b, cut) {
       for (const id of [buildPairId(a, b), buildPairId(b, a)]) {
         if (cut) cuts.add(id);
@@ -146,7 +151,7 @@
       }
     },
     setFate(policy) {
-      chooseFate = policy;
+      chooseOutcome = policy;
     },
     createClient: (from, to) =>
       buildPathProxy(path => {
@@ -161,7 +166,7 @@
   return `${from}>${to}`;
 }
 
-/** `client.feature.procedure.mutate(input)`, as a typed client is used. */
+/** Builds a client that is used as `client.feature.procedure.mutate(input)`. */
 function buildPathProxy(
   makeCall: (path: [string, string]) => (input: unknown) => unknown,
 ): object {
--- a/src/testing/fixtures.ts
+++ b/src/testing/fixtures.ts
@@ -1,9 +1,9 @@
-/** Settings and documents that tests start from. */
+/** Settings, service documents and endpoints that tests use. */
 import type {ListedInstance} from '../stores/instance_list.js';
 import type {ContentGuard} from '../instance/quarantine/quarantine.js';
 import {parseSettings, type Settings} from '../instance/settings.js';
 
-/** A service of model engines with two accounts. */
+/** Document of a service of model engines with two accounts. */
 export const ENGINE_DOCUMENT = `[service]
 name = drum-reader
 kind = model-engine
@@ -18,7 +18,7 @@
 burst = 5
 `;
 
-/** Text of settings on loopback; ports are free ones. */
+/** Settings file whose listeners use free ports on loopback. */
 export const SETTINGS_TEXT = `[instance]
 name = entry-1
 region = klang
@@ -41,13 +41,13 @@
 level = error
 `;
 
-/** Settings on loopback; ports are free ones. */
+/** Parses `SETTINGS_TEXT` for an instance called `name`. */
 export function makeSettings(name = 'entry-1'): Settings {
   const text = SETTINGS_TEXT.replace('entry-1', name);
   return parseSettings(text, 'test settings');
 }
 
-/** An endpoint as the platform lists it. */
+/** Creates an endpoint as the platform lists it. */
 export function makeEndpoint(
   address: string,
   overrides: Partial<ListedInstance> = {},
@@ -64,7 +64,7 @@
   };
 }
 
-/** Holds no content back. */
+/** A content guard that quarantines nothing. */
 export const IDLE_GUARD: ContentGuard = {
   checkHeld() {},
   async noteLoss() {},
--- a/src/testing/golden.ts
+++ b/src/testing/golden.ts
@@ -1,6 +1,6 @@
 /**
- * Golden files: what a whole session looked like, compared line by line.
- * `UPDATE_GOLDEN=1 npm test` writes them anew; review the difference.
+ * Compares the output of a complete session with a golden file, line by line.
+ * `UPDATE_GOLDEN=1 npm test` rewrites the golden files; review the diff.
  */
 import assert from 'node:assert/strict';
 import {mkdirSync, readFileSync, writeFileSync} from 'node:fs';
@@ -8,7 +8,7 @@
 
 const PROJECT_ROOT = join(import.meta.dirname, '..', '..', '..');
 
-/** Path of a file of the source tree, from the compiled tests. */
+/** Returns the path of a source file; works from the compiled tests. */
 export function findSourcePath(...parts: string[]): string {
   return join(PROJECT_ROOT, 'src', ...parts);
 }
@@ -24,7 +24,7 @@
   assert.equal(actual, readFileSync(file, 'utf8'), `differs from ${path}`);
 }
 
-/** Replaces what differs from run to run by fixed names. */
+/** Replaces values that differ between runs by fixed placeholders. */
 export function normalizeSession(text: string): string {
   return text
     .replace(/(req|item|run|key|write)-[0-9a-z]{26}/g, '$1-ID')
--- a/src/testing/limits_faults.ts
+++ b/src/testing/limits_faults.ts
@@ -1,6 +1,6 @@
 /**
- * Faults that a fleet's limits must survive, as a script that fast-check makes
- * up and shrinks, and the run of it against the oracle.
+ * Generates fault scripts for the limits of a fleet, and runs them against the
+ * oracle. fast-check generates the scripts and shrinks those that fail.
  */
 import fc from 'fast-check';
 import {createRandom} from '../plays/random.js';
@@ -11,10 +11,10 @@
 const DOMAINS = ['a', 'b', 'c', 'd'];
 const BUCKET = {service: 'drum-reader', account: 'gate'};
 
-/** Instances may learn of a new document this late, in ms. */
+/** Maximum time until an instance learns of a new document, in ms. */
 const PROPAGATION_MS = 2000;
 
-/** Time between two requests, in ms; far more than any rate of a script. */
+/** Time between two requests, in ms; 50/s exceeds every rate of a script. */
 const REQUEST_EVERY_MS = 20;
 
 type InstanceFault =
@@ -28,7 +28,7 @@
   | 'cut-store'
   | 'mend-store';
 
-/** One step; `at` names an instance by its index. */
+/** One step of a fault script; `at` is the index of an instance. */
 export type Fault =
   | {kind: 'wait'; ms: number}
   | {kind: InstanceFault; at: number}
@@ -39,7 +39,7 @@
 
 const at = fc.nat(SIZE - 1);
 
-/** Any step, faults and their mending alike. */
+/** Generates one step, which injects a fault or repairs one. */
 export const faultArbitrary: fc.Arbitrary<Fault> = fc.oneof(
   {
     weight: 6,
@@ -102,24 +102,26 @@
   ) => unknown;
 };
 
-const nameOf = (index: number) => `entry-${index}`;
+const buildName = (index: number) => `entry-${index}`;
 
 const FAULT_HANDLERS: FaultHandlers = {
   wait: (run, {ms}) => runRequests(run, ms),
-  kill: ({fleet}, fault) => fleet.kill(nameOf(fault.at)),
+  kill: ({fleet}, fault) => fleet.kill(buildName(fault.at)),
   start: async ({fleet}, fault) => {
-    const name = nameOf(fault.at);
+    const name = buildName(fault.at);
     if (!fleet.instances.has(name)) await fleet.start(name);
   },
-  stop: ({fleet}, fault) => void fleet.instances.get(nameOf(fault.at))?.stop(),
+  stop: ({fleet}, fault) =>
+    void fleet.instances.get(buildName(fault.at))?.stop(),
   pause: ({fleet}, fault) =>
-    fleet.instances.get(nameOf(fault.at))?.clock.pause(),
+    fleet.instances.get(buildName(fault.at))?.clock.pause(),
   resume: ({fleet}, fault) =>
-    fleet.instances.get(nameOf(fault.at))?.clock.resume(),
-  isolate: ({fleet}, fault) => fleet.setIsolated(nameOf(fault.at), true),
-  mend: ({fleet}, fault) => fleet.setIsolated(nameOf(fault.at), false),
-  'cut-store': ({fleet}, fault) => fleet.setStoreCut(nameOf(fault.at), true),
-  'mend-store': ({fleet}, fault) => fleet.setStoreCut(nameOf(fault.at), false),
+    fleet.instances.get(buildName(fault.at))?.clock.resume(),
+  isolate: ({fleet}, fault) => fleet.setIsolated(buildName(fault.at), true),
+  mend: ({fleet}, fault) => fleet.setIsolated(buildName(fault.at), false),
+  'cut-store': ({fleet}, fault) => fleet.setStoreCut(buildName(fault.at), true),
+  'mend-store': ({fleet}, fault) =>
+    fleet.setStoreCut(buildName(fault.at), false),
   'store-down': ({fleet}) => {
     fleet.platform.faults.down = true;
   },
@@ -141,8 +143,9 @@
 };
 
 /**
- * For a while some instances use the old limits and some the new ones: any
- * version that was in force within that time may be used.
+ * Replaces the limits. Instances learn of the new ones at different times, so
+ * for `PROPAGATION_MS` the oracle accepts every version that was active in that
+ * period.
  */
 function replaceLimits(run: Run, rate: number, burst: number) {
   const {fleet} = run;
@@ -155,11 +158,11 @@
 
 function updateOracle({fleet, oracle, versions}: Run) {
   const now = fleet.clock.now();
-  const inUse = versions.filter(
+  const acceptedVersions = versions.filter(
     ({replacedAt}) => now - replacedAt < PROPAGATION_MS,
   );
-  const rate = Math.max(...inUse.map(one => one.rate));
-  const burst = Math.max(...inUse.map(one => one.burst));
+  const rate = Math.max(...acceptedVersions.map(one => one.rate));
+  const burst = Math.max(...acceptedVersions.map(one => one.burst));
   oracle.setLimits({rate, burst}, now);
 }
 
@@ -184,7 +187,7 @@
   }
 }
 
-/** Plays a script; what the oracle found. */
+/** Runs a fault script and returns the oracle with its findings. */
 export async function runFaults(
   faults: readonly Fault[],
   seed: number,
--- a/src/testing/limits_fleet.ts
+++ b/src/testing/limits_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of instances that runs the real limits, members and leases on virtual
- * time, over a network and a store with faults.
+ * A fleet of instances that run the real limits, membership and leases on
+ * virtual time, over a network and a store that can fail.
  */
 import {createMetrics} from '../common/metrics.js';
 import {
@@ -34,49 +34,49 @@
 
 const POLL_INTERVAL_MS = 1000;
 
-/** A call without an answer; the real ones differ by kind. */
+/** Timeout of every peer call; in the product it depends on the procedure. */
 const CALL_TIMEOUT_MS = 300;
 
-/** One instance under way. */
+/** One running instance. */
 export interface FleetInstance {
   name: string;
   clock: PausableClock;
   limits: FleetLimits;
-  /** Ends gracefully. */
+  /** Shuts down gracefully. */
   stop(): Promise<void>;
 }
 
-/** How a fleet is made. */
+/** Options of a fleet. */
 export interface FleetOptions {
   size: number;
   domains: readonly string[];
-  /** Limits in force by `service/account`, with their document's version. */
+  /** Returns the version of the active document. */
   findVersion(): number;
-  /** Buckets that the documents in force declare. */
+  /** Lists the buckets that the active documents declare. */
   listBuckets?(): DeclaredBucket[];
-  /** Speed of an instance's clock. */
+  /** Returns the clock speed of an instance; 1 is exact. */
   chooseSpeed?(index: number): number;
 }
 
-/** The fleet. */
+/** A running fleet with the controls for a test. */
 export interface LimitsFleet {
   clock: VirtualClock;
-  /** Moves time forward; everything that is due runs. */
+  /** Advances the time and runs all tasks that become due. */
   advance(byMs: number): Promise<void>;
   network: FakePeerNetwork;
   platform: MemoryPlatform;
   instances: Map<string, FleetInstance>;
   names: readonly string[];
   start(name: string): Promise<void>;
-  /** Dies without a word. */
+  /** Stops an instance abruptly, without notifying any other. */
   kill(name: string): void;
-  /** Cuts or mends the way between an instance and every other, or the store. */
+  /** Disconnects or reconnects an instance and all others and the store. */
   setIsolated(name: string, isolated: boolean): void;
-  /** Cuts or mends the way between an instance and the store alone. */
+  /** Disconnects or reconnects an instance and the store only. */
   setStoreCut(name: string, cut: boolean): void;
 }
 
-/** Starts every instance and lets them find each other. */
+/** Starts every instance and waits until they know each other. */
 export async function startLimitsFleet(
   options: FleetOptions,
 ): Promise<LimitsFleet> {
@@ -97,10 +97,10 @@
     }),
   );
   platform.setInstances(listed);
-  let runs = 0;
+  let incarnationCount = 0;
 
-  /** One turn of the event loop for each time at which something is due. */
-  async function playTime(byMs: number) {
+  /** Runs the event loop once for each time at which a task is due. */
+  async function runFor(byMs: number) {
     const until = clock.now() + byMs;
     for (;;) {
       await new Promise(resolve => setImmediate(resolve));
@@ -117,18 +117,19 @@
     instances.set(name, instance);
   }
 
-  /** The store as one instance reaches it. */
+  /** Builds the table store of one instance, which can be disconnected. */
   function buildTable(name: string): MemoryPlatform['table'] {
-    const guard = async () => {
-      if (storeCuts.has(name)) throw new Error('the store is out of reach');
+    const checkStore = async () => {
+      if (storeCuts.has(name))
+        throw new Error('instance is disconnected from the store');
     };
     return {
       ...platform.table,
-      get: async key => guard().then(() => platform.table.get(key)),
+      get: async key => checkStore().then(() => platform.table.get(key)),
       query: async (...args) =>
-        guard().then(() => platform.table.query(...args)),
+        checkStore().then(() => platform.table.query(...args)),
       transact: async operations =>
-        guard().then(() => platform.table.transact(operations)),
+        checkStore().then(() => platform.table.transact(operations)),
     };
   }
 
@@ -137,13 +138,13 @@
     index: number,
   ): Promise<FleetInstance> {
     const speed = options.chooseSpeed?.(index) ?? 1;
-    const own = createPausableClock(clock, speed, 1000 * index);
+    const ownClock = createPausableClock(clock, speed, 1000 * index);
     const table = buildTable(name);
-    const firstIncarnation = `run-${String(++runs).padStart(6, '0')}`;
+    const firstIncarnation = `run-${String(++incarnationCount).padStart(6, '0')}`;
     const lease = createInstanceLease(
       table,
       firstIncarnation,
-      () => `run-${String(++runs).padStart(6, '0')}`,
+      () => `run-${String(++incarnationCount).padStart(6, '0')}`,
     );
     const self = {
       name,
@@ -158,13 +159,13 @@
     let storeReachable = true;
     const getClient = (to: string) => network.createClient(sender, to);
     const members = createMembers(self, platform.instances, {
-      clock: own,
+      clock: ownClock,
       sendHeartbeat: (peer, heartbeat) =>
         getClient(peer.address).members.heartbeat.mutate(heartbeat),
       readStatus: () => ({generation: 0, storeReachable}),
     });
     const limits = createFleetLimits({
-      clock: own,
+      clock: ownClock,
       metrics: createMetrics(),
       table,
       members,
@@ -177,7 +178,8 @@
 
     async function poll() {
       try {
-        if (storeCuts.has(name)) throw new Error('the store is out of reach');
+        if (storeCuts.has(name))
+          throw new Error('instance is disconnected from the store');
         await members.poll();
         storeReachable = true;
       } catch {
@@ -189,42 +191,42 @@
       const run = () =>
         void task()
           .catch(() => {})
-          .finally(() => own.schedule(everyMs, run));
-      own.schedule(everyMs * ((index + 1) / (options.size + 1)), run);
+          .finally(() => ownClock.schedule(everyMs, run));
+      ownClock.schedule(everyMs * ((index + 1) / (options.size + 1)), run);
     }
 
     await poll();
     await releasePredecessor(table, address, lease.incarnation).catch(() => {});
-    await lease.renew(own.now()).catch(() => {});
+    await lease.renew(ownClock.now()).catch(() => {});
     const procedures = {
       members: {heartbeat: members.handleHeartbeat},
       limits: limits.procedures,
     } as unknown as ProcedureTable;
-    network.joinDirectly(address, procedures, own.receive);
+    network.joinDirectly(address, procedures, ownClock.receive);
     runEvery(POLL_INTERVAL_MS, poll);
     runEvery(HEARTBEAT_INTERVAL_MS, () => members.sendHeartbeats());
-    runEvery(LEASE_RENEWAL_MS, () => lease.renew(own.now()));
+    runEvery(LEASE_RENEWAL_MS, () => lease.renew(ownClock.now()));
     runEvery(PROMISE_RENEWAL_MS, () => limits.runRound());
     return {
       name,
-      clock: own,
+      clock: ownClock,
       limits,
       async stop() {
         void members.leave();
         await limits.shut().catch(() => {});
         await lease.release().catch(() => {});
-        own.end();
+        ownClock.end();
         network.remove(address);
-        if (instances.get(name)?.clock === own) instances.delete(name);
+        if (instances.get(name)?.clock === ownClock) instances.delete(name);
       },
     };
   }
 
   for (const {name} of listed) await start(name);
-  await playTime(3000);
+  await runFor(3000);
   return {
     clock,
-    advance: playTime,
+    advance: runFor,
     network,
     platform,
     instances,
--- a/src/testing/memory_watch.ts
+++ b/src/testing/memory_watch.ts
@@ -1,4 +1,4 @@
-/** Follows collections of a table in memory: changes are told as they commit. */
+/** Watches collections of an in-memory table; notifies listeners on commit. */
 import {
   splitPartition,
   type CollectionListener,
@@ -11,19 +11,19 @@
   WriteOperation,
 } from '../stores/table_store.js';
 
-/** A table whose changes are told, and the watch on it. */
+/** A table that notifies listeners of its changes, and the watch on it. */
 export interface MemoryWatch extends CollectionWatch {
   table: TableStore;
 }
 
-/** Wraps `inner`; writes that bypass it are not told. */
+/** Wraps `inner`; listeners are not notified of writes that bypass the wrapper. */
 export function createMemoryWatch(inner: TableStore): MemoryWatch {
   const listeners = new Map<string, Set<CollectionListener>>();
-  const seen = new Map<string, Map<string, Row>>();
+  const latestRows = new Map<string, Map<string, Row>>();
 
-  function noteRow(collection: string, key: RowKey, row: Row | undefined) {
-    const rows = seen.get(collection) ?? new Map<string, Row>();
-    seen.set(collection, rows);
+  function updateRow(collection: string, key: RowKey, row: Row | undefined) {
+    const rows = latestRows.get(collection) ?? new Map<string, Row>();
+    latestRows.set(collection, rows);
     const name = `${key.partition} ${key.sort}`;
     if (row) rows.set(name, row);
     else rows.delete(name);
@@ -33,7 +33,7 @@
     if (kind === 'check') return;
     const {collection} = splitPartition(key.partition);
     const row = await inner.get(key);
-    noteRow(collection, key, row);
+    updateRow(collection, key, row);
     for (const listener of listeners.get(collection) ?? []) {
       listener.change([{key, row}]);
     }
@@ -44,9 +44,9 @@
       get: key => inner.get(key),
       query: (partition, range) => inner.query(partition, range),
       async transact(operations) {
-        let wasLost: unknown;
+        let transactError: unknown;
         const outcome = await inner.transact(operations).catch(error => {
-          wasLost = error;
+          transactError = error;
           return undefined;
         });
         if (!outcome || outcome.kind === 'committed') {
@@ -54,16 +54,16 @@
             await publishChange(operation).catch(() => {});
           }
         }
-        if (!outcome) throw wasLost;
+        if (!outcome) throw transactError;
         return outcome;
       },
     },
     watch(collection, listener) {
-      const held = listeners.get(collection) ?? new Set();
-      held.add(listener);
-      listeners.set(collection, held);
-      listener.reset([...(seen.get(collection)?.values() ?? [])]);
-      return () => held.delete(listener);
+      const collectionListeners = listeners.get(collection) ?? new Set();
+      collectionListeners.add(listener);
+      listeners.set(collection, collectionListeners);
+      listener.reset([...(latestRows.get(collection)?.values() ?? [])]);
+      return () => collectionListeners.delete(listener);
     },
   };
 }
--- a/src/testing/pausable_clock.ts
+++ b/src/testing/pausable_clock.ts
@@ -1,23 +1,23 @@
 /**
- * The clock of one instance of a test: it can be paused like a stopped process,
+ * The clock of one instance in a test. It can be paused like a stopped process,
  * ends with the instance, and may run fast or slow.
  */
 import type {Clock} from '../common/clock.js';
 
-/** One instance's clock. */
+/** The clock of one instance. */
 export interface PausableClock extends Clock {
-  /** Runs `task` now, or when the instance goes on; never once it has ended. */
+  /** Runs `task` now, or on resume if paused; never after the end. */
   receive(task: () => void): void;
   pause(): void;
-  /** Goes on: what was due meanwhile runs at once, in order. */
+  /** Continues; tasks that became due during the pause run at once, in order. */
   resume(): void;
-  /** The instance is gone: nothing of it runs any more. */
+  /** Ends the clock; none of its tasks runs any more. */
   end(): void;
 }
 
-/** `speed` 1.001 gains a thousandth on the common time. */
+/** Creates a clock on `common`; `speed` 1.001 gains 1 ms each second. */
 export function createPausableClock(
-  common: Clock,
+  baseClock: Clock,
   speed = 1,
   offsetMs = 0,
 ): PausableClock {
@@ -30,10 +30,10 @@
   }
 
   return {
-    now: () => common.now() * speed + offsetMs,
-    wallNow: () => common.wallNow(),
+    now: () => baseClock.now() * speed + offsetMs,
+    wallNow: () => baseClock.wallNow(),
     schedule: (delayMs, task) =>
-      common.schedule(delayMs / speed, () => receive(task)),
+      baseClock.schedule(delayMs / speed, () => receive(task)),
     receive,
     pause() {
       if (state === 'running') state = 'paused';
--- a/src/testing/platforms.ts
+++ b/src/testing/platforms.ts
@@ -1,4 +1,4 @@
-/** Platforms that tests run against: in memory, and over its protocols. */
+/** Platforms that tests run against: in memory, and over the wire protocols. */
 import {createSystemClock} from '../common/clock.js';
 import {createMetrics} from '../common/metrics.js';
 import {createPlatform} from '../stores/create_platform.js';
@@ -11,14 +11,14 @@
 import {createPlatformServer} from '../stand_ins/platform/platform_server.js';
 import {SETTINGS_TEXT} from './fixtures.js';
 
-/** A platform under test, and the memory behind it. */
+/** A platform under test, and the in-memory platform that holds its data. */
 export interface TestedPlatform {
   platform: Platform;
   memory: MemoryPlatform;
   close(): Promise<void>;
 }
 
-/** Ways to reach a platform; the same tests hold of each. */
+/** Ways to reach a platform; the same tests run against each. */
 export const TESTED_PLATFORMS: Record<string, () => Promise<TestedPlatform>> = {
   async 'in memory'() {
     const memory = createMemoryPlatform();
@@ -27,7 +27,7 @@
   'over its protocols': startConnectedPlatform,
 };
 
-/** Text of settings whose `[platform]` section has these lines. */
+/** Builds a settings file whose `[platform]` section has these entries. */
 export function buildSettingsText(platform: Record<string, string>): string {
   const lines = Object.entries(platform).map(
     ([name, value]) => `${name} = ${value}`,
@@ -38,7 +38,7 @@
   );
 }
 
-/** A platform server and the adapters that speak to it. */
+/** Starts a platform server and connects the real adapters to it. */
 export async function startConnectedPlatform() {
   const server = await createPlatformServer();
   const text = buildSettingsText(server.settings);
--- a/src/testing/rate_oracle.ts
+++ b/src/testing/rate_oracle.ts
@@ -1,24 +1,24 @@
 /**
- * What a fleet may have granted at most, and what an ideal bucket would have
- * granted. Both see every request at its true time.
+ * Computes how much a fleet may grant at most, and how much an ideal token
+ * bucket would grant. Both see every request at its true time.
  */
 
-/** Rate in tokens a second, and burst. */
+/** Rate in tokens per second, and burst in tokens. */
 export interface OracleLimits {
   rate: number;
   burst: number;
 }
 
-/** One ideal token bucket. */
+/** An ideal token bucket. */
 export interface IdealBucket {
   setLimits(limits: OracleLimits, now: number): void;
-  /** Takes a token if there is one. */
+  /** Takes a token if one is available; returns whether it did. */
   take(now: number): boolean;
-  /** Takes a token whether there is one or not; returns what is left. */
-  force(now: number): number;
+  /** Takes a token even if none is available; returns the level, maybe below 0. */
+  debit(now: number): number;
 }
 
-/** Starts full. */
+/** Creates a full bucket. */
 export function createIdealBucket(initial: OracleLimits): IdealBucket {
   let limits = initial;
   let level = limits.burst;
@@ -42,7 +42,7 @@
       level--;
       return true;
     },
-    force(now) {
+    debit(now) {
       refill(now);
       level--;
       return level;
@@ -51,19 +51,19 @@
 }
 
 /**
- * Sums grants over every window: a bucket that is taken from without asking
- * never goes below zero if and only if no window held more than
- * rate x t + burst.
+ * Checks grants over every time window. It takes a token from an ideal bucket
+ * for each grant, without a check: the level never falls below 0 if and only if
+ * no window of length t held more than rate x t + burst grants.
  */
 export interface RateOracle {
   setLimits(limits: OracleLimits, now: number): void;
   noteGrant(now: number): void;
-  /** Tokens that the worst window held too many; 0 when none did. */
+  /** Number of tokens by which the worst window exceeded its limit, or 0. */
   readonly excess: number;
   readonly granted: number;
 }
 
-/** For one account. */
+/** Creates the oracle for one account. */
 export function createRateOracle(limits: OracleLimits): RateOracle {
   const bucket = createIdealBucket(limits);
   let excess = 0;
@@ -72,8 +72,8 @@
     setLimits: bucket.setLimits,
     noteGrant(now) {
       granted++;
-      const left = bucket.force(now);
-      if (left < -1e-6) excess = Math.max(excess, -left);
+      const level = bucket.debit(now);
+      if (level < -1e-6) excess = Math.max(excess, -level);
     },
     get excess() {
       return excess;
--- a/src/testing/wait_until.ts
+++ b/src/testing/wait_until.ts
@@ -1,15 +1,16 @@
-/** Waits in a test for a cause, with an end when it never comes. */
+/** Waits in a test until a condition is met, with a timeout. */
 import {setImmediate as waitTurn} from 'node:timers/promises';
 
-const GIVE_UP_MS = 5000;
+const TIMEOUT_MS = 5000;
 
-/** Resolves once `holds`; throws when it does not within five seconds. */
+/** Resolves as soon as `isMet` returns true; throws after 5 s. */
 export async function waitUntil(
-  holds: () => boolean | Promise<boolean>,
+  isMet: () => boolean | Promise<boolean>,
 ): Promise<void> {
-  const end = performance.now() + GIVE_UP_MS;
-  while (!(await holds())) {
-    if (performance.now() > end) throw new Error('the cause never came');
+  const deadline = performance.now() + TIMEOUT_MS;
+  while (!(await isMet())) {
+    if (performance.now() > deadline)
+      throw new Error('condition was not met within 5 s');
     await waitTurn();
   }
 }
