--- a/src/plays/batch_source.ts
+++ b/src/plays/batch_source.ts
@@ -1,83 +1,84 @@
-/** Batch jobs of a play: keeps a window of items asking for slots. */
+/** Runs the batch jobs of a scenario; each job keeps a window of items open. */
 import type {Clock} from '../common/clock.js';
-import type {Play, PlayBatch} from './play_schema.js';
-import type {PlayRequest, Traffic} from './traffic.js';
+import type {Play, ScenarioBatch} from './play_schema.js';
+import type {SimulatedRequest, Traffic} from './traffic.js';
 
 const ITEM_DEADLINE_MS = 60_000;
-/** Before an item that was turned away or yielded asks again. */
-const ASK_AGAIN_MS = 100;
+/** Delay until an item that was refused or yielded requests a slot again. */
+const RETRY_DELAY_MS = 100;
 
-/** The items of all jobs. */
+/** The source of the items of all batch jobs. */
 export interface BatchSource {
   start(): void;
-  /** The item's result is committed. */
-  finish(item: PlayRequest, now: number): void;
-  /** The item did not run to its end and asks again. */
-  putBack(item: PlayRequest): void;
-  /** Takes no new items: what is committed needs the platform's store. */
+  /** Called when the result of the item is committed. */
+  finish(item: SimulatedRequest, now: number): void;
+  /** Called when the item did not complete; submits it again after a delay. */
+  retry(item: SimulatedRequest): void;
+  /** Starts no new items, because their results could not reach the store. */
   pause(): void;
   resume(): void;
-  /** When the last item of a finite job was done; undefined before. */
+  /** Returns when the last item of a finite job completed; undefined before. */
   getDoneAt(): number | undefined;
 }
 
-/** `submit` asks for a slot. */
+/** Creates the source; `submit` requests a slot for an item. */
 export function createBatchSource(
-  play: Play,
+  scenario: Play,
   clock: Clock,
   traffic: Traffic,
-  submit: (item: PlayRequest) => void,
+  submit: (item: SimulatedRequest) => void,
 ): BatchSource {
-  const owner = new Map<string, PlayBatch>();
-  const open = new Map<PlayBatch, number>();
-  const left = new Map<PlayBatch, number>();
-  let paused = false;
+  const batchByItemId = new Map<string, ScenarioBatch>();
+  const openCounts = new Map<ScenarioBatch, number>();
+  const remainingCounts = new Map<ScenarioBatch, number>();
+  let isPaused = false;
   let doneAt: number | undefined;
 
-  function pushItems(batch: PlayBatch) {
-    while (!paused && countOpen(batch) < batch.window) {
-      const rest = left.get(batch) ?? Infinity;
-      if (rest <= 0) return;
-      left.set(batch, rest - 1);
-      open.set(batch, countOpen(batch) + 1);
+  function refillWindow(batch: ScenarioBatch) {
+    while (!isPaused && countOpen(batch) < batch.window) {
+      const remaining = remainingCounts.get(batch) ?? Infinity;
+      if (remaining <= 0) return;
+      remainingCounts.set(batch, remaining - 1);
+      openCounts.set(batch, countOpen(batch) + 1);
       const item = traffic.generateItem(batch);
-      owner.set(item.id, batch);
-      sendItem(item);
+      batchByItemId.set(item.id, batch);
+      submitItem(item);
     }
   }
 
-  function countOpen(batch: PlayBatch): number {
-    return open.get(batch) ?? 0;
+  function countOpen(batch: ScenarioBatch): number {
+    return openCounts.get(batch) ?? 0;
   }
 
-  function sendItem(item: PlayRequest) {
+  function submitItem(item: SimulatedRequest) {
     item.deadline = clock.now() + ITEM_DEADLINE_MS;
     submit(item);
   }
 
   return {
     start() {
-      for (const batch of play.batch) {
-        if (batch.items !== undefined) left.set(batch, batch.items);
-        clock.schedule(batch.startMs, () => pushItems(batch));
+      for (const batch of scenario.batch) {
+        if (batch.items !== undefined) remainingCounts.set(batch, batch.items);
+        clock.schedule(batch.startMs, () => refillWindow(batch));
       }
     },
     finish(item, now) {
-      const batch = owner.get(item.id)!;
-      owner.delete(item.id);
-      open.set(batch, countOpen(batch) - 1);
-      if (left.get(batch) === 0 && countOpen(batch) === 0) doneAt = now;
-      pushItems(batch);
+      const batch = batchByItemId.get(item.id)!;
+      batchByItemId.delete(item.id);
+      openCounts.set(batch, countOpen(batch) - 1);
+      if (remainingCounts.get(batch) === 0 && countOpen(batch) === 0)
+        doneAt = now;
+      refillWindow(batch);
     },
-    putBack(item) {
-      clock.schedule(ASK_AGAIN_MS, () => sendItem(item));
+    retry(item) {
+      clock.schedule(RETRY_DELAY_MS, () => submitItem(item));
     },
     pause() {
-      paused = true;
+      isPaused = true;
     },
     resume() {
-      paused = false;
-      for (const batch of play.batch) pushItems(batch);
+      isPaused = false;
+      for (const batch of scenario.batch) refillWindow(batch);
     },
     getDoneAt: () => doneAt,
   };
--- a/src/plays/engine_model.ts
+++ b/src/plays/engine_model.ts
@@ -1,8 +1,8 @@
 /**
- * A continuously batching engine at its interface: it admits requests as they
- * arrive, knows no priorities, prefills in chunks first come first served, and
- * its step time grows with running sequences and with prefilled tokens. It is
- * a fake for plays, not a simulator of hardware.
+ * A model of an engine with continuous batching. It admits requests as they
+ * arrive, has no priorities, and prefills prompts in chunks, first come, first
+ * served. Its step time grows with the number of running sequences and of
+ * prefilled tokens. It models the engine's interface, not the hardware.
  */
 import {LRUCache} from 'lru-cache';
 import type {Clock} from '../common/clock.js';
@@ -10,20 +10,20 @@
 import type {EngineParameters} from './engine_parameters.js';
 import type {Random} from './random.js';
 
-/** One request as an engine sees it. */
+/** A request as the engine receives it. */
 export interface EngineRequest {
   id: string;
   promptTokens: number;
   answerTokens: number;
   prefixHashes: readonly string[];
-  /** For accounting only; the engine treats all alike. */
+  /** For accounting only; the engine treats all requests alike. */
   isBatch: boolean;
 }
 
-/** Told what the engine sends back. */
+/** Receives what the engine sends. */
 export interface EngineListener {
-  /** `heldMs`: how long batch prefill stood in the way inside the engine. */
-  handleFirstToken(id: string, heldMs: number): void;
+  /** `batchDelayMs`: time for which batch prefill delayed it in the engine. */
+  handleFirstToken(id: string, batchDelayMs: number): void;
   handleEnd(id: string): void;
   handleReport(report: LoadReport): void;
   handleCacheEvent(event: CacheEvent): void;
@@ -34,27 +34,27 @@
   send(request: EngineRequest): void;
   /** Takes effect at the end of the step that is running. */
   cancel(id: string): void;
-  /** Tokens of the answer made so far. */
+  /** Returns the number of answer tokens generated so far. */
   countTokens(id: string): number;
-  /** Steps take `factor` times as long from the next one on. */
+  /** Makes steps take `factor` times as long, from the next step on. */
   setSlowness(factor: number): void;
-  /** A silent engine takes requests and answers nothing. */
+  /** Makes the engine silent: it accepts requests but sends nothing. */
   setSilent(silent: boolean): void;
-  /** Time spent in steps, and prompt tokens prefilled, so far. */
+  /** Returns the time spent in steps and the prompt tokens prefilled so far. */
   getUsage(): {busyMs: number; prefilledTokens: number};
 }
 
 interface Sequence {
   request: EngineRequest;
-  prefillLeft: number;
+  remainingPrefill: number;
   started: boolean;
   cancelled: boolean;
-  heldMs: number;
-  /** Step at which the first token came; 0 before. */
+  batchDelayMs: number;
+  /** Step that generated the first token; 0 before. */
   firstStep: number;
 }
 
-/** Starts idle, with an empty cache. */
+/** Creates an idle engine with an empty cache. */
 export function createEngineModel(
   parameters: EngineParameters,
   clock: Clock,
@@ -78,7 +78,7 @@
   let silent = false;
   let cacheSequence = 0;
   let stepEndsAt = 0;
-  let stepBatchMs = 0;
+  let stepBatchPrefillMs = 0;
   const usage = {busyMs: 0, prefilledTokens: 0};
 
   function publishCacheEvent(kind: 'stored' | 'evicted', prefixHash: string) {
@@ -103,7 +103,10 @@
     return request.promptTokens + request.answerTokens;
   }
 
-  /** First come first served: one that does not fit holds up those behind. */
+  /**
+   * Returns whether the prefill has started or can start now. Order is first come,
+   * first served, so a sequence that does not fit blocks those behind it.
+   */
   function startPrefill(sequence: Sequence): boolean {
     if (sequence.started) return true;
     const started = countStarted();
@@ -113,7 +116,7 @@
     if (!fits && started > 0) return false;
     sequence.started = true;
     kvInUse += computeKvSize(sequence.request);
-    sequence.prefillLeft =
+    sequence.remainingPrefill =
       sequence.request.promptTokens - countCachedTokens(sequence.request);
     return true;
   }
@@ -129,18 +132,18 @@
     stepping = decoding + prefills.length > 0;
     if (!stepping) return;
     step++;
-    let room = parameters.chunkTokens;
+    let remainingChunk = parameters.chunkTokens;
     let batchTokens = 0;
     const done: Sequence[] = [];
     for (const sequence of prefills) {
-      if (room === 0 || !startPrefill(sequence)) break;
-      const taken = Math.min(room, sequence.prefillLeft);
-      room -= taken;
-      sequence.prefillLeft -= taken;
-      if (sequence.request.isBatch) batchTokens += taken;
-      if (sequence.prefillLeft === 0) done.push(sequence);
+      if (remainingChunk === 0 || !startPrefill(sequence)) break;
+      const prefillTokens = Math.min(remainingChunk, sequence.remainingPrefill);
+      remainingChunk -= prefillTokens;
+      sequence.remainingPrefill -= prefillTokens;
+      if (sequence.request.isBatch) batchTokens += prefillTokens;
+      if (sequence.remainingPrefill === 0) done.push(sequence);
     }
-    const prefilled = parameters.chunkTokens - room;
+    const prefilled = parameters.chunkTokens - remainingChunk;
     const jitter = 1 + parameters.jitter * (2 * random.draw() - 1);
     const factor = jitter * slowness;
     const duration =
@@ -148,8 +151,9 @@
         parameters.stepPerSequenceMs * decoding +
         parameters.prefillPerTokenMs * prefilled) *
       factor;
-    stepBatchMs = batchTokens * parameters.prefillPerTokenMs * factor;
-    for (const sequence of prefills) sequence.heldMs += stepBatchMs;
+    stepBatchPrefillMs = batchTokens * parameters.prefillPerTokenMs * factor;
+    for (const sequence of prefills)
+      sequence.batchDelayMs += stepBatchPrefillMs;
     usage.busyMs += duration;
     usage.prefilledTokens += prefilled;
     stepEndsAt = clock.now() + duration;
@@ -158,7 +162,8 @@
 
   function finishStep(done: readonly Sequence[]) {
     for (const sequence of done) finishPrefill(sequence);
-    if (done.length > 0) prefills = prefills.filter(s => s.prefillLeft > 0);
+    if (done.length > 0)
+      prefills = prefills.filter(s => s.remainingPrefill > 0);
     for (const sequence of endingAt.get(step) ?? []) finishDecode(sequence);
     endingAt.delete(step);
     runStep();
@@ -177,7 +182,7 @@
     const ending = endingAt.get(lastStep);
     if (ending) ending.push(sequence);
     else endingAt.set(lastStep, [sequence]);
-    if (!silent) listener.handleFirstToken(request.id, sequence.heldMs);
+    if (!silent) listener.handleFirstToken(request.id, sequence.batchDelayMs);
   }
 
   function finishDecode(sequence: Sequence) {
@@ -211,13 +216,15 @@
 
   return {
     send(request) {
-      const residual = Math.max(0, stepEndsAt - clock.now());
+      const remainingStepMs = Math.max(0, stepEndsAt - clock.now());
       const sequence: Sequence = {
         request,
-        prefillLeft: request.promptTokens,
+        remainingPrefill: request.promptTokens,
         started: false,
         cancelled: false,
-        heldMs: stepping ? Math.min(residual, stepBatchMs) : 0,
+        batchDelayMs: stepping
+          ? Math.min(remainingStepMs, stepBatchPrefillMs)
+          : 0,
         firstStep: 0,
       };
       sequences.set(request.id, sequence);
--- a/src/plays/engine_parameters.ts
+++ b/src/plays/engine_parameters.ts
@@ -1,25 +1,28 @@
-/** What an engine model is made of; `measure` varies it to show the spread. */
+/**
+ * Parameters of the engine model. The `measure` tool varies them to show how far
+ * its results depend on them.
+ */
 import * as z from 'zod';
 
 /** Times in ms, sizes in tokens. */
 export const engineParametersSchema = z.strictObject({
-  /** Time of a step that reads the weights, whatever it computes. */
+  /** Base time of a step: reading the weights, whatever the step computes. */
   stepBaseMs: z.number().positive().default(14),
-  /** Added to a step by each decoding sequence. */
+  /** Time that each decoding sequence adds to a step. */
   stepPerSequenceMs: z.number().nonnegative().default(0.2),
-  /** Added to a step by each prompt token it prefills. */
+  /** Time that each prefilled prompt token adds to a step. */
   prefillPerTokenMs: z.number().nonnegative().default(0.08),
-  /** Prompt tokens one step takes in at the most (chunked prefill). */
+  /** Maximum number of prompt tokens per step (chunked prefill). */
   chunkTokens: z.number().int().positive().default(512),
-  /** Sequences it runs at once; more wait inside it, first come first served. */
+  /** Maximum of running sequences; more wait inside, first come, first served. */
   maxSequences: z.number().int().positive().default(64),
-  /** KV memory for running sequences. */
+  /** KV cache memory for running sequences. */
   kvTokens: z.number().int().positive().default(120_000),
-  /** Prefix blocks it keeps; the least recently used goes first. */
+  /** Capacity of the prefix cache in blocks; evicts the least recently used. */
   cacheBlocks: z.number().int().positive().default(512),
-  /** Prompt tokens in one block. */
+  /** Prompt tokens per block. */
   blockTokens: z.number().int().positive().default(128),
-  /** Each step is up to this share shorter or longer. */
+  /** Maximum share by which a step is randomly shorter or longer. */
   jitter: z.number().min(0).max(1).default(0.05),
   reportEveryMs: z.number().positive().default(1000),
   reportLagMs: z.number().nonnegative().default(1000),
@@ -28,7 +31,7 @@
   cacheEventLoss: z.number().min(0).max(1).default(0.1),
 });
 
-/** Checked parameters. */
+/** Validated parameters. */
 export type EngineParameters = z.infer<typeof engineParametersSchema>;
 
 /** A 7B model on one mid-range accelerator, with chunked prefill. */
--- a/src/plays/expectations.ts
+++ b/src/plays/expectations.ts
@@ -1,14 +1,14 @@
-/** Compares what callers got in a play with what the play expects. */
+/** Compares the results of a simulation with the expectations of its scenario. */
 import {MEASURES} from './play_measures.js';
 import {runPlay, type PlayParts} from './play_runner.js';
 import type {PlayResult} from './play_result.js';
 import type {Expectation, Play} from './play_schema.js';
 
-/** An expectation with the figure that was seen. */
+/** An expectation with the measured value. */
 export interface CheckedExpectation {
   text: string;
   actual: number;
-  holds: boolean;
+  isMet: boolean;
 }
 
 const COMPARISONS: Record<
@@ -19,16 +19,16 @@
   '>=': (actual, value) => actual >= value,
 };
 
-/** The same play with something left out, to compare with. */
+/** Reduces a scenario, for comparisons with the complete one. */
 const REDUCTIONS: Record<
   NonNullable<Expectation['without']>,
-  (play: Play) => Play
+  (scenario: Play) => Play
 > = {
-  batch: play => ({...play, batch: []}),
-  events: play => ({...play, events: []}),
+  batch: scenario => ({...scenario, batch: []}),
+  events: scenario => ({...scenario, events: []}),
 };
 
-/** The worst of several seeds, seen from the comparison. */
+/** Picks the value of several seeds that is worst for the comparison. */
 const WORST: Record<
   Expectation['comparison'],
   (values: readonly number[]) => number
@@ -37,48 +37,56 @@
   '>=': values => Math.min(...values),
 };
 
-/** Runs `play`, and its reduced forms where it is compared with them. */
-export function checkPlay(
-  play: Play,
+/** Simulates a scenario, and its reduced forms where expectations need them. */
+export function checkScenario(
+  scenario: Play,
   parts: Partial<PlayParts> = {},
 ): {result: PlayResult; expectations: CheckedExpectation[]} {
-  const results = runSeeds(play, parts);
+  const results = simulateSeeds(scenario, parts);
   const reduced = new Map<string, PlayResult[]>();
 
-  function getReduced(without: NonNullable<Expectation['without']>) {
-    const held = reduced.get(without);
-    const made = held ?? runSeeds(REDUCTIONS[without](play), parts);
-    reduced.set(without, made);
-    return made;
+  function simulateReduced(without: NonNullable<Expectation['without']>) {
+    const existing = reduced.get(without);
+    const reducedResults =
+      existing ?? simulateSeeds(REDUCTIONS[without](scenario), parts);
+    reduced.set(without, reducedResults);
+    return reducedResults;
   }
 
-  /** A ratio is one of means, since percentiles of one seed vary by a tenth. */
-  function readActual(expectation: Expectation): number {
+  /**
+   * Measures an expectation. A ratio compares means over all seeds, because
+   * percentiles of one seed vary by 10 %.
+   */
+  function measureExpectation(expectation: Expectation): number {
     const {measure, account, comparison, without} = expectation;
     const read = (each: PlayResult) => MEASURES[measure](each, account);
     if (!without) return WORST[comparison](results.map(read));
     return (
-      sumValues(results.map(read)) / sumValues(getReduced(without).map(read))
+      sumValues(results.map(read)) /
+      sumValues(simulateReduced(without).map(read))
     );
   }
 
-  const expectations = play.expectations.map(expectation => {
+  const expectations = scenario.expectations.map(expectation => {
     const {measure, account, comparison, value, without} = expectation;
-    const actual = readActual(expectation);
+    const actual = measureExpectation(expectation);
     const owner = account ? ` of ${account}` : '';
     const suffix = without ? ` without ${without}` : '';
     return {
       text: `${measure}${owner} ${comparison} ${value}${suffix}`,
       actual,
-      holds: COMPARISONS[comparison](actual, value),
+      isMet: COMPARISONS[comparison](actual, value),
     };
   });
   return {result: results[0], expectations};
 }
 
-function runSeeds(play: Play, parts: Partial<PlayParts>): PlayResult[] {
-  return Array.from({length: play.seeds}, (_, index) =>
-    runPlay({...play, seed: play.seed + index}, parts),
+function simulateSeeds(
+  scenario: Play,
+  parts: Partial<PlayParts>,
+): PlayResult[] {
+  return Array.from({length: scenario.seeds}, (_, index) =>
+    runPlay({...scenario, seed: scenario.seed + index}, parts),
   );
 }
 
--- a/src/plays/play_measures.ts
+++ b/src/plays/play_measures.ts
@@ -1,14 +1,14 @@
-/** The figures that expectations and reports speak of, by name. */
+/** Measures of a simulation, by the names used in expectations and reports. */
 import {
   readPercentile,
   type AccountResult,
   type PlayResult,
 } from './play_result.js';
 
-/** Computes one figure from a played scenario. */
+/** Computes one figure from the result of a simulation. */
 type Measure = (result: PlayResult, account?: string) => number;
 
-/** Every measure that a play's text may name. Times in ms. */
+/** Every measure that a scenario may name. Times are in ms. */
 export const MEASURES: Record<string, Measure> = {
   'first-token-p50': (result, account) => readFirstToken(result, account, 50),
   'first-token-p95': (result, account) => readFirstToken(result, account, 95),
@@ -18,7 +18,7 @@
   'burst-held-p99': result => readPercentile(result.heldOfBurst, 99),
   'burst-held-max': result => readPercentile(result.heldOfBurst, 100),
   'answered-share': result => computeShare(result, account => account.answered),
-  /** Of the account that sends least: it is inside any fair share. */
+  /** For the account that sends least, which is within any fair share. */
   'least-sender': computeLeastSender,
   goodput: result =>
     (sumAccounts(result, account => account.answered) * 1000) /
@@ -40,7 +40,7 @@
   'batch-done-at': result => result.batch.doneAt ?? Infinity,
 };
 
-/** Of one account, or of all. */
+/** Reads a first-token percentile of one account, or of all accounts. */
 function readFirstToken(
   result: PlayResult,
   account: string | undefined,
@@ -51,23 +51,23 @@
   return readPercentile(one.firstToken, percentile);
 }
 
-/** Batch items completed a second. */
+/** Computes the batch items completed per second. */
 export function computeBatchRate(result: PlayResult): number {
   const {durationMs, warmupMs} = result.play;
   return (result.batch.completed * 1000) / (durationMs - warmupMs);
 }
 
-/** Share answered in time of what an account sent inside its rate. */
+/** Computes the share answered in time, of requests inside the rate. */
 export function computeAnsweredShare(account: AccountResult): number {
   return account.inside === 0 ? 1 : account.answered / account.inside;
 }
 
-/** Share of an account's requests inside its rate with a prompt first token. */
+/** Computes the share with a prompt first token, of requests inside the rate. */
 export function computePromptShare(account: AccountResult): number {
   return account.inside === 0 ? 1 : account.prompt / account.inside;
 }
 
-/** The worst-served account's share, relative to the median account's. */
+/** Computes the worst-served account's share relative to the median account's. */
 function computeWorstAccount(result: PlayResult): number {
   return compareWorst(result, computeAnsweredShare);
 }
@@ -82,7 +82,10 @@
   return compareWorst(result, computePromptShare);
 }
 
-/** Accounts that kept inside their rate only: the sender of more is its own cause. */
+/**
+ * Compares the worst account with the median one. Only accounts that stayed
+ * inside their rate count, since one that exceeds its rate causes its refusals.
+ */
 function compareWorst(
   result: PlayResult,
   computeServed: (account: AccountResult) => number,
--- a/src/plays/play_result.ts
+++ b/src/plays/play_result.ts
@@ -1,30 +1,30 @@
-/** What callers got in a play. */
+/** The result of a simulation: what callers received. */
 import {build, type Histogram} from 'hdr-histogram-js';
 import type {RefusalReason} from '../decisions/scheduler_types.js';
 import type {Play} from './play_schema.js';
-import type {PlayRequest} from './traffic.js';
+import type {SimulatedRequest} from './traffic.js';
 
-/** First tokens later than this count as late: the users' 95 in 100 aim. */
-export const FIRST_TOKEN_AIM_MS = 370;
-/** Histograms hold microseconds, for their relative precision at 1 ms. */
-const MICROSECONDS = 1000;
-const SERIES_STEP_MS = 500;
+/** Target for the first token; the users' aim is 95 in 100 within it. */
+export const FIRST_TOKEN_TARGET_MS = 370;
+/** Histograms store microseconds, to be precise at values around 1 ms. */
+const MICROSECONDS_PER_MS = 1000;
+const SERIES_INTERVAL_MS = 500;
 
-/** What one client account got. */
+/** The results of one client account. */
 export interface AccountResult {
-  /** Requests inside the account's rate, and beyond it. */
+  /** Number of requests inside the account's rate, and beyond it. */
   inside: number;
   beyond: number;
-  /** Of those inside: answered whole before the deadline. */
+  /** Of those inside: completely answered before the deadline. */
   answered: number;
-  /** Of those inside: first token within the aim. */
+  /** Of those inside: first token within the target time. */
   prompt: number;
   late: number;
   failed: number;
   firstToken: Histogram;
 }
 
-/** One half second of a play, for plots. */
+/** Figures of 500 ms of a simulation, for plots. */
 export interface SeriesPoint {
   atMs: number;
   online: number;
@@ -32,32 +32,32 @@
   firstTokenMs: number;
 }
 
-/** Everything counted in one play. */
+/** All figures of one simulation. */
 export interface PlayResult {
   play: Play;
   accounts: Map<string, AccountResult>;
   firstToken: Histogram;
   firstTokenOfBurst: Histogram;
-  /** How long batch work held a burst's requests up. */
+  /** Time for which batch work delayed the requests of a burst. */
   heldOfBurst: Histogram;
   refused: Map<RefusalReason | 'rate', number>;
-  /** Refused although inside the rate, for any reason. */
+  /** Number refused although inside the rate, for any reason. */
   wrongful: number;
-  /** Time between an online request's submission and its refusal, largest. */
+  /** Longest time from the submission of an online request to its refusal. */
   slowestRefusalMs: number;
   batch: {
     completed: number;
     yielded: number;
-    /** Tokens of answers thrown away by yielding. */
+    /** Answer tokens discarded by yielding. */
     wastedTokens: number;
     failed: number;
-    /** When the last item of the last finite job was done. */
+    /** When the last item of the last finite job completed. */
     doneAt: number | undefined;
   };
   series: SeriesPoint[];
-  /** Steps and prefill of all engines. */
+  /** Step time and prefilled tokens of all engines. */
   engines: {busyMs: number; prefilledTokens: number};
-  /** Answer tokens of online requests that ran, for the idle bound. */
+  /** Answer tokens of online requests that ran; needed for the batch bound. */
   onlineTokens: number;
 }
 
@@ -69,12 +69,12 @@
   });
 }
 
-/** Nothing counted yet. */
-export function createPlayResult(play: Play): PlayResult {
+/** Creates a result in which every figure is 0. */
+export function createSimulationResult(scenario: Play): PlayResult {
   return {
-    play,
+    play: scenario,
     accounts: new Map(
-      play.accounts.map(({name}) => [
+      scenario.accounts.map(({name}) => [
         name,
         {
           inside: 0,
@@ -106,41 +106,41 @@
   };
 }
 
-/** A percentile of a histogram of this file, in ms. */
+/** Reads a percentile, in ms, of a histogram that this module created. */
 export function readPercentile(histogram: Histogram, percentile: number) {
-  return histogram.getValueAtPercentile(percentile) / MICROSECONDS;
+  return histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
 }
 
-/** Adds `ms` to a histogram of this file. */
+/** Adds `ms` to a histogram that this module created. */
 export function recordMs(histogram: Histogram, ms: number) {
-  histogram.recordValue(Math.max(1, Math.round(ms * MICROSECONDS)));
+  histogram.recordValue(Math.max(1, Math.round(ms * MICROSECONDS_PER_MS)));
 }
 
-/** Counts a first token in every histogram it belongs to. */
+/** Records a first token in every histogram that it belongs to. */
 export function recordFirstToken(
   result: PlayResult,
-  request: PlayRequest,
+  request: SimulatedRequest,
   firstTokenMs: number,
-  heldMs: number,
+  batchDelayMs: number,
 ) {
   recordMs(result.firstToken, firstTokenMs);
   const account = result.accounts.get(request.account)!;
   recordMs(account.firstToken, firstTokenMs);
-  if (firstTokenMs <= FIRST_TOKEN_AIM_MS) account.prompt++;
+  if (firstTokenMs <= FIRST_TOKEN_TARGET_MS) account.prompt++;
   if (request.isBurst) {
     recordMs(result.firstTokenOfBurst, firstTokenMs);
-    recordMs(result.heldOfBurst, heldMs);
+    recordMs(result.heldOfBurst, batchDelayMs);
   }
   const point = getPoint(result, request.arrivedAt);
   point.online++;
   point.firstTokenMs = Math.max(point.firstTokenMs, firstTokenMs);
 }
 
-/** The point of the series that `at` falls into. */
+/** Returns the point of the series for the time `at`. */
 export function getPoint(result: PlayResult, at: number): SeriesPoint {
-  const index = Math.floor(at / SERIES_STEP_MS);
+  const index = Math.floor(at / SERIES_INTERVAL_MS);
   while (result.series.length <= index) {
-    const atMs = result.series.length * SERIES_STEP_MS;
+    const atMs = result.series.length * SERIES_INTERVAL_MS;
     result.series.push({atMs, online: 0, batch: 0, firstTokenMs: 0});
   }
   return result.series[index];
--- a/src/plays/play_runner.ts
+++ b/src/plays/play_runner.ts
@@ -1,7 +1,7 @@
 /**
- * Plays a scenario on virtual time: callers' requests go through the real
- * decision code to engine models and back, with a small network delay on each
- * hop, as the instances of the product would carry them.
+ * Simulates a scenario on virtual time. Requests of callers pass through the
+ * real decision code to engine models and back. Each hop has a small network
+ * delay, as between the instances of the product.
  */
 import {createVirtualClock} from '../common/virtual_clock.js';
 import type {PoolScheduler} from '../decisions/pool_scheduler.js';
@@ -15,83 +15,84 @@
 import {createEngineModel, type EngineModel} from './engine_model.js';
 import type {Play, PlayEvent} from './play_schema.js';
 import type {PlayResult} from './play_result.js';
-import {createPlayScore} from './play_score.js';
+import {createResultRecorder} from './result_recorder.js';
 import {createRandom} from './random.js';
 import {createExactGate, type RateGateFactory} from './rate_gate.js';
-import {createTraffic, type PlayRequest} from './traffic.js';
+import {createTraffic, type SimulatedRequest} from './traffic.js';
 
-/** One hop between instances or to an endpoint. */
-const HOP_MS = 0.5;
-const DECIDE_EVERY_MS = 20;
-/** Instances collect releases for this long and send them together. */
+/** Network delay between two instances, or to an endpoint. */
+const NETWORK_HOP_MS = 0.5;
+const DECISION_INTERVAL_MS = 20;
+/** Instances send releases in batches at this interval. */
 const RELEASE_INTERVAL_MS = 10;
 const FIRST_BYTE_TIMEOUT_MS = 5000;
 const BETWEEN_BYTES_TIMEOUT_MS = 2000;
-/** Until another instance decides in place of a lost dispatcher. */
-const TAKEOVER_MS = 1500;
-const MAX_TRIES = 3;
+/** Time until another instance replaces a lost dispatcher. */
+const TAKEOVER_DELAY_MS = 1500;
+const MAX_ATTEMPTS = 3;
 
-/** What a play runs on; `measure` swaps parts for baselines. */
+/** Replaceable parts of a simulation; the `measure` tool replaces some by baselines. */
 export interface PlayParts {
   createScheduler: (limits: PoolLimits) => PoolScheduler;
   createGate: RateGateFactory;
-  /** Whether instances report first bytes as they come. */
+  /** Whether instances report each first byte as it arrives. */
   hasFirstByteReports: boolean;
 }
 
-const PRODUCT_PARTS: PlayParts = {
+const DEFAULT_PARTS: PlayParts = {
   createScheduler: createPoolScheduler,
   createGate: createExactGate,
   hasFirstByteReports: true,
 };
 
-/** A request that was granted an endpoint. */
-interface Flight {
-  request: PlayRequest;
+/** A request that was granted a slot on an endpoint. */
+interface InFlightRequest {
+  request: SimulatedRequest;
   endpoint: number;
   sentAt: number;
   firstByteAt?: number;
-  /** Wait for a slot, where batch work held some. */
-  heldMs: number;
+  /** Time it waited for a slot while batch work occupied some, else 0. */
+  batchDelayMs: number;
 }
 
-/** Plays `play` to its end. */
+/** Simulates a scenario to its end. */
 export function runPlay(
-  play: Play,
+  scenario: Play,
   parts: Partial<PlayParts> = {},
 ): PlayResult {
   const {createScheduler, createGate, hasFirstByteReports} = {
-    ...PRODUCT_PARTS,
+    ...DEFAULT_PARTS,
     ...parts,
   };
   const clock = createVirtualClock();
-  const score = createPlayScore(play);
-  const endpoints = Array.from({length: play.endpoints}, (_, index) => ({
+  const recorder = createResultRecorder(scenario);
+  const endpoints = Array.from({length: scenario.endpoints}, (_, index) => ({
     address: `10.0.0.${index + 1}:8000`,
     failureDomain: `domain-${index % 4}`,
   }));
   const indexOf = new Map(endpoints.map(({address}, i) => [address, i]));
-  const gate = createGate(play.accounts, play.instances);
-  const reference = createExactGate(play.accounts, play.instances);
-  const waiting = new Map<string, PlayRequest>();
-  const flights = new Map<string, Flight>();
-  /** Online requests that found every slot taken, some by batch work. */
-  const slotless = new Set<string>();
+  const gate = createGate(scenario.accounts, scenario.instances);
+  const exactGate = createExactGate(scenario.accounts, scenario.instances);
+  const waiting = new Map<string, SimulatedRequest>();
+  const inFlight = new Map<string, InFlightRequest>();
+  /** Burst requests that found every slot taken, some of them by batch work. */
+  const delayedByBatch = new Set<string>();
   let scheduler: PoolScheduler | undefined = startScheduler();
 
   function startScheduler(): PoolScheduler {
-    const started = createScheduler({maxConcurrency: play.maxConcurrency});
+    const started = createScheduler({maxConcurrency: scenario.maxConcurrency});
     started.setEndpoints(endpoints, clock.now());
     return started;
   }
 
   const engines: EngineModel[] = endpoints.map(({address}, index) =>
     createEngineModel(
-      play.engine,
+      scenario.engine,
       clock,
-      createRandom(play.seed * 104_729 + index),
+      createRandom(scenario.seed * 104_729 + index),
       {
-        handleFirstToken: (id, heldMs) => handleFirstToken(id, heldMs),
+        handleFirstToken: (id, batchDelayMs) =>
+          handleFirstToken(id, batchDelayMs),
         handleEnd: id => handleEnd(id),
         handleReport: report =>
           scheduler?.noteLoad(address, report, clock.now()),
@@ -101,99 +102,105 @@
     ),
   );
 
-  // ---- callers' side -------------------------------------------------------
+  // ---- callers -------------------------------------------------------------
 
-  const traffic = createTraffic(play, clock, request => {
-    const isInside = reference.decide(request.account, 0, clock.now());
-    score.noteArrival(request, isInside);
+  const traffic = createTraffic(scenario, clock, request => {
+    const isInside = exactGate.decide(request.account, 0, clock.now());
+    recorder.noteArrival(request, isInside);
     const isAdmitted = gate.decide(
       request.account,
       request.instance,
       clock.now(),
     );
     if (isAdmitted)
-      clock.schedule(play.clientMs + HOP_MS, () => sendRequest(request));
-    else score.noteRefusal(request, 'rate', clock.now());
+      clock.schedule(scenario.clientMs + NETWORK_HOP_MS, () =>
+        sendRequest(request),
+      );
+    else recorder.noteRefusal(request, 'rate', clock.now());
   });
 
-  function sendRequest(request: PlayRequest) {
+  function sendRequest(request: SimulatedRequest) {
     waiting.set(request.id, request);
-    if (request.isBurst && isTakenByBatch()) slotless.add(request.id);
-    if (scheduler) apply(scheduler.submit(request, clock.now()));
+    if (request.isBurst && isFullWithBatch()) delayedByBatch.add(request.id);
+    if (scheduler) applyActions(scheduler.submit(request, clock.now()));
   }
 
-  function isTakenByBatch(): boolean {
+  function isFullWithBatch(): boolean {
     let batchItems = 0;
-    for (const flight of flights.values()) {
+    for (const flight of inFlight.values()) {
       if (flight.request.workClass === 'batch') batchItems++;
     }
-    const slots = play.endpoints * play.maxConcurrency;
-    return batchItems > 0 && flights.size >= slots;
+    const slots = scenario.endpoints * scenario.maxConcurrency;
+    return batchItems > 0 && inFlight.size >= slots;
   }
 
-  // ---- dispatcher's side ---------------------------------------------------
+  // ---- dispatcher ----------------------------------------------------------
 
   const handlers: {
     [Kind in SchedulerAction['kind']]: (
       action: Extract<SchedulerAction, {kind: Kind}>,
     ) => void;
   } = {
-    grant: ({requestId, endpoint}) => grant(requestId, indexOf.get(endpoint)!),
+    grant: ({requestId, endpoint}) =>
+      grantSlot(requestId, indexOf.get(endpoint)!),
     refuse({requestId, reason}) {
       const request = waiting.get(requestId)!;
       waiting.delete(requestId);
-      if (request.workClass === 'batch') batch.putBack(request);
-      else score.noteRefusal(request, reason, clock.now());
+      if (request.workClass === 'batch') batch.retry(request);
+      else recorder.noteRefusal(request, reason, clock.now());
     },
     yield({requestId}) {
-      clock.schedule(HOP_MS, () => stopItem(requestId));
+      clock.schedule(NETWORK_HOP_MS, () => stopItem(requestId));
     },
   };
 
-  function apply(actions: readonly SchedulerAction[]) {
+  function applyActions(actions: readonly SchedulerAction[]) {
     for (const action of actions) handlers[action.kind](action as never);
   }
 
-  function grant(id: string, endpoint: number) {
+  function grantSlot(id: string, endpoint: number) {
     const request = waiting.get(id);
-    if (!request) throw new Error(`${id} was granted but does not wait`);
+    if (!request)
+      throw new Error(`${id} was granted a slot but is not waiting`);
     waiting.delete(id);
     const isBatch = request.workClass === 'batch';
-    const waitedMs = clock.now() - request.arrivedAt - play.clientMs - HOP_MS;
-    const isHeld = slotless.delete(id);
-    const flight: Flight = {
+    const waitedMs =
+      clock.now() - request.arrivedAt - scenario.clientMs - NETWORK_HOP_MS;
+    const isDelayedByBatch = delayedByBatch.delete(id);
+    const flight: InFlightRequest = {
       request,
       endpoint,
       sentAt: clock.now(),
-      heldMs: isHeld ? waitedMs : 0,
+      batchDelayMs: isDelayedByBatch ? waitedMs : 0,
     };
-    flights.set(id, flight);
-    clock.schedule(2 * HOP_MS, () => {
-      if (flights.get(id) === flight)
+    inFlight.set(id, flight);
+    clock.schedule(2 * NETWORK_HOP_MS, () => {
+      if (inFlight.get(id) === flight)
         engines[endpoint].send({...request, isBatch});
     });
-    watchFlight(flight);
+    scheduleTimeouts(flight);
   }
 
-  /** What the instance's time-outs would see. */
-  function watchFlight(flight: Flight) {
+  /** Schedules the timeouts that an instance would apply to the request. */
+  function scheduleTimeouts(flight: InFlightRequest) {
     const {request} = flight;
     clock.schedule(FIRST_BYTE_TIMEOUT_MS, () => {
-      const isOpen = flights.get(request.id) === flight;
-      if (isOpen && flight.firstByteAt === undefined) fail(flight, 'silent');
+      const isOpen = inFlight.get(request.id) === flight;
+      if (isOpen && flight.firstByteAt === undefined)
+        failRequest(flight, 'silent');
     });
     if (request.workClass === 'batch') return;
     clock.schedule(request.deadline - clock.now(), () => {
-      if (flights.get(request.id) !== flight) return;
-      finishFlight(flight, {kind: 'cancelled', tokens: 0});
-      score.noteLate(request);
+      if (inFlight.get(request.id) !== flight) return;
+      finishRequest(flight, {kind: 'cancelled', tokens: 0});
+      recorder.noteLate(request);
     });
   }
 
-  function handleFirstToken(id: string, heldMs: number) {
-    const flight = flights.get(id);
+  function handleFirstToken(id: string, batchDelayMs: number) {
+    const flight = inFlight.get(id);
     if (!flight) return;
-    flight.firstByteAt = clock.now() + HOP_MS;
+    flight.firstByteAt = clock.now() + NETWORK_HOP_MS;
     const {request} = flight;
     const firstByteMs = flight.firstByteAt - flight.sentAt;
     if (hasFirstByteReports) {
@@ -202,82 +209,88 @@
       );
     }
     if (request.workClass === 'batch') return;
-    const firstTokenMs = flight.firstByteAt + play.clientMs - request.arrivedAt;
-    score.noteFirstToken(request, firstTokenMs, heldMs + flight.heldMs);
+    const firstTokenMs =
+      flight.firstByteAt + scenario.clientMs - request.arrivedAt;
+    recorder.noteFirstToken(
+      request,
+      firstTokenMs,
+      batchDelayMs + flight.batchDelayMs,
+    );
   }
 
   function handleEnd(id: string) {
-    const flight = flights.get(id);
+    const flight = inFlight.get(id);
     if (!flight) return;
     const {request} = flight;
     if (request.workClass === 'batch') {
       batch.finish(request, clock.now());
-      score.noteItem(clock.now());
-    } else score.noteAnswer(request);
-    finishFlight(flight, {kind: 'answered', tokens: request.answerTokens});
+      recorder.noteItem(clock.now());
+    } else recorder.noteAnswer(request);
+    finishRequest(flight, {kind: 'answered', tokens: request.answerTokens});
   }
 
-  function finishFlight(
-    flight: Flight,
+  function finishRequest(
+    flight: InFlightRequest,
     outcome: Pick<SchedulerOutcome, 'kind' | 'tokens'>,
   ) {
     const {request, sentAt, firstByteAt} = flight;
-    flights.delete(request.id);
+    inFlight.delete(request.id);
     if (outcome.kind !== 'answered')
       engines[flight.endpoint].cancel(request.id);
-    const endedAt = clock.now() + HOP_MS;
+    const endedAt = clock.now() + NETWORK_HOP_MS;
     const delay =
-      outcome.kind === 'yielded' ? 2 * HOP_MS : computeReleaseDelay();
+      outcome.kind === 'yielded' ? 2 * NETWORK_HOP_MS : computeReleaseDelay();
     clock.schedule(delay, () => {
-      const told: SchedulerOutcome = {
+      const reported: SchedulerOutcome = {
         ...outcome,
         firstByteMs:
           firstByteAt === undefined ? undefined : firstByteAt - sentAt,
         totalMs: endedAt - sentAt,
       };
-      if (scheduler) apply(scheduler.release(request.id, told, clock.now()));
+      if (scheduler)
+        applyActions(scheduler.release(request.id, reported, clock.now()));
     });
   }
 
-  /** Sent at the instances' next turn; then one hop. */
+  /** Returns the delay until the next release batch has arrived, one hop later. */
   function computeReleaseDelay(): number {
-    const now = clock.now() + HOP_MS;
+    const now = clock.now() + NETWORK_HOP_MS;
     const turn = Math.ceil(now / RELEASE_INTERVAL_MS) * RELEASE_INTERVAL_MS;
-    return turn + HOP_MS - clock.now();
+    return turn + NETWORK_HOP_MS - clock.now();
   }
 
   function stopItem(id: string) {
-    const flight = flights.get(id);
+    const flight = inFlight.get(id);
     if (!flight) return;
     const tokens = engines[flight.endpoint].countTokens(id);
-    score.noteYield(tokens);
-    finishFlight(flight, {kind: 'yielded', tokens});
-    batch.putBack(flight.request);
+    recorder.noteYield(tokens);
+    finishRequest(flight, {kind: 'yielded', tokens});
+    batch.retry(flight.request);
   }
 
-  function fail(flight: Flight, kind: 'silent' | 'failed') {
+  function failRequest(flight: InFlightRequest, kind: 'silent' | 'failed') {
     const {request} = flight;
-    finishFlight(flight, {kind, tokens: 0});
+    finishRequest(flight, {kind, tokens: 0});
     if (request.workClass === 'batch') {
-      batch.putBack(request);
+      batch.retry(request);
       return;
     }
     request.avoid.push(endpoints[flight.endpoint].address);
-    if (request.avoid.length < MAX_TRIES)
-      clock.schedule(RELEASE_INTERVAL_MS + 4 * HOP_MS, () =>
+    if (request.avoid.length < MAX_ATTEMPTS)
+      clock.schedule(RELEASE_INTERVAL_MS + 4 * NETWORK_HOP_MS, () =>
         sendRequest(request),
       );
-    else score.noteFailure(request);
+    else recorder.noteFailure(request);
   }
 
   const batch: BatchSource = createBatchSource(
-    play,
+    scenario,
     clock,
     traffic,
     sendRequest,
   );
 
-  // ---- what fails ----------------------------------------------------------
+  // ---- scenario events -----------------------------------------------------
 
   const eventHandlers: {
     [Kind in PlayEvent['kind']]: (
@@ -290,7 +303,9 @@
     slow: ({endpoint, factor}) => engines[endpoint].setSlowness(factor),
     silent({endpoint, untilMs}) {
       engines[endpoint].setSilent(true);
-      clock.schedule(BETWEEN_BYTES_TIMEOUT_MS, () => failStarted(endpoint));
+      clock.schedule(BETWEEN_BYTES_TIMEOUT_MS, () =>
+        failStartedRequests(endpoint),
+      );
       if (untilMs === undefined) return;
       clock.schedule(untilMs - clock.now(), () =>
         engines[endpoint].setSilent(false),
@@ -298,7 +313,7 @@
     },
     'dispatcher-lost'() {
       scheduler = undefined;
-      clock.schedule(TAKEOVER_MS, takeOver);
+      clock.schedule(TAKEOVER_DELAY_MS, replaceDispatcher);
     },
     'store-down'({untilMs}) {
       batch.pause();
@@ -306,42 +321,42 @@
     },
   };
 
-  /** Streams that had begun are found silent between two bytes. */
-  function failStarted(endpoint: number) {
-    for (const flight of [...flights.values()]) {
+  /** Fails the started streams of an endpoint, by the between-bytes timeout. */
+  function failStartedRequests(endpoint: number) {
+    for (const flight of [...inFlight.values()]) {
       if (flight.endpoint !== endpoint) continue;
-      if (flight.firstByteAt !== undefined) fail(flight, 'silent');
+      if (flight.firstByteAt !== undefined) failRequest(flight, 'silent');
     }
   }
 
-  /** Another instance learns what runs and what waits, and decides on. */
-  function takeOver() {
-    const next = startScheduler();
-    for (const {request, endpoint} of flights.values()) {
-      next.adopt(request, endpoints[endpoint].address, clock.now());
+  /** Starts a new dispatcher that adopts running and waiting requests. */
+  function replaceDispatcher() {
+    const newScheduler = startScheduler();
+    for (const {request, endpoint} of inFlight.values()) {
+      newScheduler.adopt(request, endpoints[endpoint].address, clock.now());
     }
-    scheduler = next;
+    scheduler = newScheduler;
     for (const request of [...waiting.values()]) {
-      apply(next.submit(request, clock.now()));
+      applyActions(newScheduler.submit(request, clock.now()));
     }
   }
 
   function decidePeriodically() {
-    if (scheduler) apply(scheduler.decide(clock.now()));
-    clock.schedule(DECIDE_EVERY_MS, decidePeriodically);
+    if (scheduler) applyActions(scheduler.decide(clock.now()));
+    clock.schedule(DECISION_INTERVAL_MS, decidePeriodically);
   }
 
-  for (const event of play.events) {
+  for (const event of scenario.events) {
     clock.schedule(event.atMs, () => eventHandlers[event.kind](event as never));
   }
   traffic.start();
   batch.start();
   decidePeriodically();
-  clock.schedule(play.warmupMs, () => score.noteUsage(engines, -1));
-  clock.advance(play.durationMs);
-  score.noteUsage(engines, 1);
-  score.result.batch.doneAt = batch.getDoneAt();
-  const running = [...flights.values()].map(({request}) => request);
-  score.noteOpen([...waiting.values(), ...running], clock.now());
-  return score.result;
+  clock.schedule(scenario.warmupMs, () => recorder.noteUsage(engines, -1));
+  clock.advance(scenario.durationMs);
+  recorder.noteUsage(engines, 1);
+  recorder.result.batch.doneAt = batch.getDoneAt();
+  const running = [...inFlight.values()].map(({request}) => request);
+  recorder.noteOpen([...waiting.values(), ...running], clock.now());
+  return recorder.result;
 }
--- a/src/plays/play_schema.ts
+++ b/src/plays/play_schema.ts
@@ -1,4 +1,4 @@
-/** A play as data: who sends what, what fails when, and what must hold. */
+/** Schema of a scenario: its load, its events and its expectations. */
 import * as z from 'zod';
 import {engineParametersSchema} from './engine_parameters.js';
 
@@ -11,7 +11,7 @@
   spread: z.number().nonnegative().default(0.5),
   /** Prompt tokens shared by requests of the same template. */
   shared: z.number().nonnegative().default(384),
-  /** Templates requests choose from. */
+  /** Number of templates that requests choose from. */
   templates: z.number().int().positive().default(4),
   /** Share of requests that use the first template. */
   hot: z.number().min(0).max(1).default(0),
@@ -19,26 +19,26 @@
 
 const accountSchema = z.strictObject({
   name: z.string(),
-  /** Requests a second the account may send over the whole fleet. */
+  /** Requests per second that the account may send to the whole fleet. */
   rate: z.number().positive(),
   burst: z.number().positive(),
-  /** Requests a second it does send. */
+  /** Requests per second that the account sends. */
   load: z.number().nonnegative(),
   weight: z.number().positive().default(1),
   deadlineMs: timeMs.default(10_000),
   sizes: sizesSchema.prefault({}),
-  /** Share of requests that come in at the first instance. */
+  /** Share of requests that are sent to the first instance. */
   skew: z.number().min(0).max(1).default(0),
 });
 
 const batchSchema = z.strictObject({
   account: z.string(),
-  /** Items asking for a slot at once, at the most. */
+  /** Maximum number of open items, which wait for a slot or run. */
   window: z.number().int().positive().default(600),
   startMs: timeMs.default(0),
-  /** Items in all; without it, the job outlasts the play. */
+  /** Total number of items; if absent, the job outlasts the scenario. */
   items: z.number().int().positive().optional(),
-  /** Time by which the last item must be done. */
+  /** Time by which the last item must be completed. */
   dueMs: timeMs.optional(),
   sizes: sizesSchema.prefault({prompt: 700, answer: 100, shared: 256}),
 });
@@ -55,7 +55,7 @@
     kind: z.literal('load'),
     atMs: timeMs,
     account: z.string(),
-    /** New load in requests a second. */
+    /** New load in requests per second. */
     load: z.number().nonnegative(),
   }),
   z.strictObject({
@@ -80,22 +80,22 @@
 
 const expectationSchema = z.strictObject({
   measure: z.string(),
-  /** Whose first tokens; of all accounts when absent. */
+  /** Account that is measured; if absent, all accounts. */
   account: z.string().optional(),
   comparison: z.enum(['<=', '>=']),
   value: z.number(),
-  /** The measure is divided by that of the same play without this. */
+  /** Divides the measure by that of the same scenario without this part. */
   without: z.enum(['batch', 'events']).optional(),
 });
 
-/** Schema of a play. */
+/** Schema of a complete scenario. */
 export const playSchema = z.strictObject({
   name: z.string(),
   seed: z.number().int().default(1),
-  /** Plays with seeds from `seed` on that are judged together. */
+  /** Number of runs that are judged together, with seeds from `seed` on. */
   seeds: z.number().int().positive().default(1),
   durationMs: timeMs.default(30_000),
-  /** Time at the start that counts for nothing. */
+  /** Time at the start that is excluded from the results. */
   warmupMs: timeMs.default(3000),
   endpoints: z.number().int().positive().default(12),
   instances: z.number().int().positive().default(10),
@@ -109,15 +109,15 @@
   expectations: z.array(expectationSchema).default([]),
 });
 
-/** A checked play. */
+/** A validated scenario. */
 export type Play = z.infer<typeof playSchema>;
-/** One client account of a play. */
-export type PlayAccount = z.infer<typeof accountSchema>;
-/** One batch job of a play. */
-export type PlayBatch = z.infer<typeof batchSchema>;
-/** Something that happens at a set time. */
+/** A client account of a scenario. */
+export type ScenarioAccount = z.infer<typeof accountSchema>;
+/** A batch job of a scenario. */
+export type ScenarioBatch = z.infer<typeof batchSchema>;
+/** An event at a set time. */
 export type PlayEvent = z.infer<typeof eventSchema>;
-/** Sizes of requests. */
-export type PlaySizes = z.infer<typeof sizesSchema>;
-/** What must hold at the end. */
+/** Sizes of the requests of an account or a job. */
+export type RequestSizes = z.infer<typeof sizesSchema>;
+/** A condition on the results. */
 export type Expectation = z.infer<typeof expectationSchema>;
--- a/src/plays/random.ts
+++ b/src/plays/random.ts
@@ -1,25 +1,25 @@
-/** Seeded random numbers for plays: the same seed gives the same play. */
+/** Seeded random numbers: the same seed gives the same simulation. */
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** Draws from one seeded stream. */
+/** A seeded stream of random numbers. */
 export interface Random {
-  /** Uniform in [0, 1). */
+  /** Draws a number that is uniform in [0, 1). */
   draw(): number;
-  /** Exponential with the given mean. */
+  /** Draws from an exponential distribution with the given mean. */
   drawExponential(mean: number): number;
-  /** Log-normal with the given median; `spread` is sigma of its logarithm. */
+  /** Draws from a log-normal distribution; `spread` is the sigma of its log. */
   drawLogNormal(median: number, spread: number): number;
-  /** Index of one of `weights`, in proportion to them. */
+  /** Picks an index of `weights` with a probability in proportion to its weight. */
   pickWeighted(weights: readonly number[]): number;
 }
 
-/** Streams of different `seed` are independent. */
+/** Creates a stream; streams with different seeds are independent. */
 export function createRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   const draw = () => uniformFloat64(generator);
 
-  /** Box-Muller, one of the pair. */
+  /** Draws a standard normal by Box-Muller, using one number of the pair. */
   function drawNormal(): number {
     const radius = Math.sqrt(-2 * Math.log(1 - draw()));
     return radius * Math.cos(2 * Math.PI * draw());
--- a/src/plays/rate_gate.ts
+++ b/src/plays/rate_gate.ts
@@ -1,15 +1,15 @@
-/** Rate limits as a play sees them: an exact fleet-wide bucket and others. */
-import type {PlayAccount} from './play_schema.js';
+/** Rate limits of a simulation: exact over the whole fleet, or a baseline. */
+import type {ScenarioAccount} from './play_schema.js';
 
 /** Decides whether a request is inside its account's rate. */
 export interface RateGate {
-  /** Takes a token at `instance` when there is one. */
+  /** Takes a token at `instance`; returns false if none is available. */
   decide(account: string, instance: number, now: number): boolean;
 }
 
-/** Makes the gate of one play. */
+/** Creates the gate of one simulation. */
 export type RateGateFactory = (
-  accounts: readonly PlayAccount[],
+  accounts: readonly ScenarioAccount[],
   instances: number,
 ) => RateGate;
 
@@ -34,7 +34,7 @@
   };
 }
 
-/** One bucket for each account over the whole fleet: what the promise says. */
+/** One bucket per account over the whole fleet, as the product guarantees. */
 export const createExactGate: RateGateFactory = accounts => {
   const limits = new Map(accounts.map(account => [account.name, account]));
   const buckets = createBuckets();
@@ -46,7 +46,7 @@
   };
 };
 
-/** Each instance has a fixed part of every rate and burst: a baseline. */
+/** Baseline: each instance has an equal, fixed part of every rate and burst. */
 export const createDividedGate: RateGateFactory = (accounts, instances) => {
   const limits = new Map(accounts.map(account => [account.name, account]));
   const buckets = createBuckets();
--- a/src/plays/play_score.ts
+++ b/src/plays/result_recorder.ts
@@ -1,62 +1,69 @@
 /**
- * Counts what callers get in a play: only of requests that arrive after the
- * warm-up, and of those inside their account's rate what became of them.
+ * Records the outcomes of requests in a simulation. Only requests that arrive
+ * after the warm-up count, and only those inside their account's rate count as
+ * answered, late or failed.
  */
 import type {EngineModel} from './engine_model.js';
 import {
-  createPlayResult,
+  createSimulationResult,
   getPoint,
   recordFirstToken,
   type AccountResult,
   type PlayResult,
 } from './play_result.js';
 import type {Play} from './play_schema.js';
-import type {PlayRequest} from './traffic.js';
+import type {SimulatedRequest} from './traffic.js';
 
-/** Why a request was refused. */
+/** The reason of a refusal. */
 type RefusalReason = Parameters<PlayResult['refused']['get']>[0];
 
-/** The counts of one play. */
-export interface PlayScore {
+/** Records the outcomes of one simulation. */
+export interface ResultRecorder {
   result: PlayResult;
-  noteArrival(request: PlayRequest, isInside: boolean): void;
-  noteRefusal(request: PlayRequest, reason: RefusalReason, now: number): void;
+  noteArrival(request: SimulatedRequest, isInside: boolean): void;
+  noteRefusal(
+    request: SimulatedRequest,
+    reason: RefusalReason,
+    now: number,
+  ): void;
   noteFirstToken(
-    request: PlayRequest,
+    request: SimulatedRequest,
     firstTokenMs: number,
-    heldMs: number,
+    batchDelayMs: number,
   ): void;
-  noteAnswer(request: PlayRequest): void;
-  /** Not answered by its deadline. */
-  noteLate(request: PlayRequest): void;
-  noteFailure(request: PlayRequest): void;
-  /** An item of a bundle is done. */
+  noteAnswer(request: SimulatedRequest): void;
+  /** Records a request that was not answered by its deadline. */
+  noteLate(request: SimulatedRequest): void;
+  noteFailure(request: SimulatedRequest): void;
+  /** Records a completed item of a batch job. */
   noteItem(now: number): void;
-  /** An item made way, with what it had brought. */
+  /** Records an item that yielded after it had generated `tokens`. */
   noteYield(tokens: number): void;
-  /** Adds the engines' work so far, or takes it off with `sign` -1. */
+  /** Adds the engines' usage so far, or subtracts it with `sign` -1. */
   noteUsage(engines: readonly EngineModel[], sign: 1 | -1): void;
-  /** Neither answered nor late when the play ends: counts for nothing. */
-  noteOpen(requests: readonly PlayRequest[], now: number): void;
+  /** Removes requests from the counts that are open and in time at the end. */
+  noteOpen(requests: readonly SimulatedRequest[], now: number): void;
 }
 
-/** Starts at nothing. */
-export function createPlayScore(play: Play): PlayScore {
-  const result = createPlayResult(play);
+/** Creates a recorder in which every figure is 0. */
+export function createResultRecorder(scenario: Play): ResultRecorder {
+  const result = createSimulationResult(scenario);
   const inside = new Set<string>();
 
-  function isCounted({arrivedAt}: PlayRequest): boolean {
-    return arrivedAt >= play.warmupMs;
+  function isCounted({arrivedAt}: SimulatedRequest): boolean {
+    return arrivedAt >= scenario.warmupMs;
   }
 
-  /** Undefined where nothing is owed to the request. */
-  function findOwed(request: PlayRequest): AccountResult | undefined {
+  /** Returns undefined if the outcome of the request does not count. */
+  function findCountedAccount(
+    request: SimulatedRequest,
+  ): AccountResult | undefined {
     if (!isCounted(request) || !inside.has(request.id)) return undefined;
     return result.accounts.get(request.account)!;
   }
 
-  function noteLate(request: PlayRequest) {
-    const account = findOwed(request);
+  function noteLate(request: SimulatedRequest) {
+    const account = findCountedAccount(request);
     if (account) account.late++;
   }
 
@@ -76,22 +83,22 @@
       const waitedMs = now - request.arrivedAt;
       result.slowestRefusalMs = Math.max(result.slowestRefusalMs, waitedMs);
     },
-    noteFirstToken(request, firstTokenMs, heldMs) {
-      if (!findOwed(request)) return;
-      recordFirstToken(result, request, firstTokenMs, heldMs);
+    noteFirstToken(request, firstTokenMs, batchDelayMs) {
+      if (!findCountedAccount(request)) return;
+      recordFirstToken(result, request, firstTokenMs, batchDelayMs);
     },
     noteAnswer(request) {
-      const account = findOwed(request);
+      const account = findCountedAccount(request);
       if (!account) return;
       account.answered++;
       result.onlineTokens += request.answerTokens;
     },
     noteFailure(request) {
-      const account = findOwed(request);
+      const account = findCountedAccount(request);
       if (account) account.failed++;
     },
     noteItem(now) {
-      if (now < play.warmupMs) return;
+      if (now < scenario.warmupMs) return;
       result.batch.completed++;
       getPoint(result, now).batch++;
     },
@@ -109,7 +116,7 @@
     noteOpen(requests, now) {
       for (const request of requests) {
         if (request.workClass !== 'online') continue;
-        const account = findOwed(request);
+        const account = findCountedAccount(request);
         if (!account) continue;
         if (request.deadline <= now) noteLate(request);
         else account.inside--;
--- a/src/plays/play_language.ts
+++ b/src/plays/scenario_language.ts
@@ -1,6 +1,6 @@
 /**
- * The language scenarios are written in: one statement a line, `#` begins a
- * comment. docs/design/dispatch.md lists the statements.
+ * Parses the scenario language: one statement per line; `#` starts a comment.
+ * docs/design/dispatch.md lists the statements.
  *
  *     play a burst over batch work
  *     account gate rate 60/s burst 80 load 20/s
@@ -13,7 +13,7 @@
 import {MEASURES} from './play_measures.js';
 import {playSchema, type Play} from './play_schema.js';
 
-/** A line that says nothing the language knows. */
+/** A line of a scenario that cannot be parsed. */
 export class PlaySyntaxError extends Error {
   constructor(line: number, message: string) {
     super(`line ${line}: ${message}`);
@@ -21,7 +21,7 @@
   }
 }
 
-/** The play as read so far; the schema checks the whole. */
+/** The scenario parsed so far; the schema validates it when it is complete. */
 type Draft = Record<string, unknown> & {
   accounts: object[];
   batch: object[];
@@ -31,7 +31,7 @@
 
 type Statement = (draft: Draft, words: string[]) => void;
 
-/** How the word after a key is read, by key. */
+/** Parsers of the word after a key; other keys take a number. */
 const VALUE_PARSERS: Record<string, (word: string) => unknown> = {
   rate: word => rateSchema.parse(word),
   load: word => rateSchema.parse(word === '0/s' ? '0.0001/s' : word),
@@ -40,7 +40,7 @@
   due: word => durationSchema.parse(word),
 };
 
-/** Keys whose field in the schema has another name. */
+/** Schema fields of the keys whose field has another name. */
 const FIELD_NAMES: Record<string, string> = {
   deadline: 'deadlineMs',
   from: 'startMs',
@@ -56,7 +56,7 @@
   'hot',
 ]);
 
-/** `key value key value ...` as fields; sizes go into a field of their own. */
+/** Parses `key value key value ...`; sizes go into a nested field `sizes`. */
 function parsePairs(words: readonly string[]): Record<string, unknown> {
   const fields: Record<string, unknown> = {};
   const sizes: Record<string, number> = {};
@@ -151,8 +151,11 @@
   },
 };
 
-/** Reads one play; throws PlaySyntaxError naming the line, or the schema's error. */
-export function parsePlay(text: string): Play {
+/**
+ * Parses a scenario. Throws PlaySyntaxError with the line number, or the
+ * validation error of the schema.
+ */
+export function parseScenario(text: string): Play {
   const draft: Draft = {accounts: [], batch: [], events: [], expectations: []};
   text.split('\n').forEach((line, index) => {
     const words = line.replace(/#.*/, '').trim().split(/\s+/);
--- a/src/plays/traffic.ts
+++ b/src/plays/traffic.ts
@@ -1,14 +1,19 @@
-/** The requests of a play: when they come, from whom, and how large. */
+/** Generates the requests of a scenario: arrival times, accounts and sizes. */
 import murmurhash from 'murmurhash';
 import type {Clock} from '../common/clock.js';
-import type {Play, PlayAccount, PlayBatch, PlaySizes} from './play_schema.js';
+import type {
+  Play,
+  ScenarioAccount,
+  ScenarioBatch,
+  RequestSizes,
+} from './play_schema.js';
 import {createRandom, type Random} from './random.js';
 
 const MIN_PROMPT_TOKENS = 16;
-const MAX_SPREAD_FACTOR = 6;
+const MAX_SIZE_FACTOR = 6;
 
-/** A request on its way through the play. */
-export interface PlayRequest {
+/** A request in a simulation. */
+export interface SimulatedRequest {
   id: string;
   account: string;
   weight: number;
@@ -18,49 +23,49 @@
   promptTokens: number;
   answerTokens: number;
   prefixHashes: readonly string[];
-  /** Instance it came in at. */
+  /** Index of the instance that received it. */
   instance: number;
-  /** Whether it is part of a burst event. */
+  /** Whether it belongs to a burst event. */
   isBurst: boolean;
   avoid: string[];
 }
 
-/** Produces requests on the play's clock. */
+/** Generates requests on the clock of the simulation. */
 export interface Traffic {
-  /** Starts the arrivals of every account. */
+  /** Starts generating the requests of every account. */
   start(): void;
   setLoad(account: string, load: number): void;
   addBurst(account: string, requests: number, withinMs: number): void;
-  /** The next item of a batch job. */
-  generateItem(batch: PlayBatch): PlayRequest;
+  /** Generates the next item of a batch job. */
+  generateItem(batch: ScenarioBatch): SimulatedRequest;
 }
 
-/** `receive` gets each online request when it arrives. */
+/** Creates the traffic; `receive` gets each online request on its arrival. */
 export function createTraffic(
-  play: Play,
+  scenario: Play,
   clock: Clock,
-  receive: (request: PlayRequest) => void,
+  receive: (request: SimulatedRequest) => void,
 ): Traffic {
-  // A stream for each account: what one sends does not change another's draws.
+  // Each account has its own stream, so its load does not affect other accounts.
   const streams = new Map<string, Random>();
-  const loads = new Map(play.accounts.map(({name, load}) => [name, load]));
+  const loads = new Map(scenario.accounts.map(({name, load}) => [name, load]));
   let nextId = 0;
 
   function getStream(name: string): Random {
-    const held = streams.get(name);
-    if (held) return held;
-    const made = createRandom(play.seed * 7919 + murmurhash.v3(name));
-    streams.set(name, made);
-    return made;
+    const existing = streams.get(name);
+    if (existing) return existing;
+    const created = createRandom(scenario.seed * 7919 + murmurhash.v3(name));
+    streams.set(name, created);
+    return created;
   }
 
   function generateSizes(
     id: string,
-    sizes: PlaySizes,
+    sizes: RequestSizes,
     owner: string,
     random: Random,
   ) {
-    const {blockTokens} = play.engine;
+    const {blockTokens} = scenario.engine;
     const template =
       random.draw() < sizes.hot
         ? 0
@@ -80,15 +85,15 @@
   }
 
   function generateRequest(
-    account: PlayAccount,
+    account: ScenarioAccount,
     isBurst: boolean,
     random: Random,
-  ): PlayRequest {
+  ): SimulatedRequest {
     const id = `q${nextId++}`;
     const instance =
       random.draw() < account.skew
         ? 0
-        : Math.floor(random.draw() * play.instances);
+        : Math.floor(random.draw() * scenario.instances);
     return {
       id,
       account: account.name,
@@ -103,10 +108,10 @@
     };
   }
 
-  function scheduleArrival(account: PlayAccount) {
+  function scheduleArrival(account: ScenarioAccount) {
     const random = getStream(account.name);
     const load = loads.get(account.name)!;
-    // An idle account looks again soon, in case an event gives it load.
+    // An idle account checks again in 100 ms, in case an event gives it load.
     const wait = load > 0 ? random.drawExponential(1000 / load) : 100;
     clock.schedule(wait, () => {
       if (load > 0) receive(generateRequest(account, false, random));
@@ -116,14 +121,14 @@
 
   return {
     start() {
-      play.accounts.forEach(scheduleArrival);
+      scenario.accounts.forEach(scheduleArrival);
     },
     setLoad(account, load) {
       loads.set(account, load);
     },
     addBurst(name, requests, withinMs) {
-      const account = play.accounts.find(known => known.name === name);
-      if (!account) throw new Error(`no account '${name}' in ${play.name}`);
+      const account = scenario.accounts.find(known => known.name === name);
+      if (!account) throw new Error(`no account '${name}' in ${scenario.name}`);
       const random = getStream(`burst-${name}`);
       for (let count = 0; count < requests; count++) {
         clock.schedule(random.draw() * withinMs, () =>
@@ -132,7 +137,7 @@
       }
     },
     generateItem(batch) {
-      const random = getStream(`batch-${play.batch.indexOf(batch)}`);
+      const random = getStream(`batch-${scenario.batch.indexOf(batch)}`);
       const id = `b${nextId++}`;
       return {
         id,
@@ -150,8 +155,8 @@
   };
 }
 
-/** Log-normal, cut off so that one draw cannot outweigh a whole play. */
+/** Draws a log-normal size, with a limit so that no request dominates a run. */
 function drawSize(median: number, spread: number, random: Random): number {
   const drawn = spread > 0 ? random.drawLogNormal(median, spread) : median;
-  return Math.max(1, Math.round(Math.min(drawn, median * MAX_SPREAD_FACTOR)));
+  return Math.max(1, Math.round(Math.min(drawn, median * MAX_SIZE_FACTOR)));
 }
