--- a/src/stand_ins/engine/engine_cache.ts
+++ b/src/stand_ins/engine/engine_cache.ts
@@ -1,33 +1,33 @@
 /**
- * The prefix cache of an engine stand-in: limited memory, events that come
- * late and with gaps, export and import of entries.
+ * The prefix cache of the engine stand-in. It has limited memory, exports and
+ * imports entries, and publishes events, some of which can be lost.
  */
 import {LRUCache} from 'lru-cache';
 import type {EngineOptions} from './engine_options.js';
 
-/** A change of the cache. `sequence` grows by 1; a gap means lost events. */
+/** A change of the cache. `sequence` increases by 1; a gap means lost events. */
 export interface EngineCacheEvent {
   sequence: number;
   kind: 'stored' | 'evicted' | 'cleared';
   prefixHash: string;
 }
 
-/** Events kept for readers that come late. */
-const KEPT_EVENTS = 1024;
+/** Maximum number of events stored for slow readers. */
+const MAX_STORED_EVENTS = 1024;
 
 /** The cache of one engine. */
 export interface EngineCache {
-  /** Stores prefixes and returns how many leading ones were there. */
+  /** Stores prefixes; returns how many leading ones were already cached. */
   touch(prefixHashes: readonly string[]): number;
   export(prefixHash: string): Buffer | undefined;
   import(prefixHash: string, entry: Buffer): void;
   listEvents(after: number): EngineCacheEvent[];
-  /** Share of the memory in use, 0 to 1. */
+  /** Returns the share of the memory in use, from 0 to 1. */
   computeUsage(): number;
   clear(): void;
 }
 
-/** Starts empty. */
+/** Creates an empty cache. */
 export function createEngineCache(options: EngineOptions): EngineCache {
   let events: EngineCacheEvent[] = [];
   let sequence = 0;
@@ -43,7 +43,8 @@
     const gap = options.cacheEventGap;
     if (gap > 0 && sequence % gap === 0) return;
     events.push({sequence, kind, prefixHash});
-    if (events.length > KEPT_EVENTS) events = events.slice(-KEPT_EVENTS / 2);
+    if (events.length > MAX_STORED_EVENTS)
+      events = events.slice(-MAX_STORED_EVENTS / 2);
   }
 
   function storeEntry(prefixHash: string, entry: Buffer) {
@@ -54,11 +55,11 @@
 
   return {
     touch(prefixHashes) {
-      const missing = prefixHashes.findIndex(hash => !entries.has(hash));
+      const firstMissing = prefixHashes.findIndex(hash => !entries.has(hash));
       for (const hash of prefixHashes) {
         storeEntry(hash, entries.get(hash) ?? Buffer.from(`kv:${hash}`));
       }
-      return missing < 0 ? prefixHashes.length : missing;
+      return firstMissing < 0 ? prefixHashes.length : firstMissing;
     },
     export: prefixHash => entries.get(prefixHash),
     import: storeEntry,
--- a/src/stand_ins/engine/engine_answer.ts
+++ b/src/stand_ins/engine/engine_completion.ts
@@ -1,4 +1,4 @@
-/** Answers a completion on the engine stand-in, with the fault it was told. */
+/** Serves a completion on the engine stand-in and injects its fault, if any. */
 import type {ServerResponse} from 'node:http';
 import {computeRequestPrefixes} from '../../common/prompt_prefix.js';
 import type {EngineFault} from './engine_options.js';
@@ -11,9 +11,9 @@
 import type {EngineState} from './engine_server.js';
 import type {EngineStream} from './engine_streams.js';
 
-const FOREIGN_ID = 'req-of-somebody-else';
+const OTHER_REQUEST_ID = 'req-of-somebody-else';
 
-/** Begins or resumes a stream and sends it. */
+/** Starts or resumes a stream and sends it. */
 export function serveCompletion(
   exchange: EngineExchange,
   state: EngineState,
@@ -32,13 +32,13 @@
   }
   const id = String(exchange.request.headers[ENGINE_REQUEST_ID]);
   const offset = Number(exchange.request.headers[ENGINE_RESUME_OFFSET] ?? 0);
-  const held = offset > 0 ? streams.find(id) : undefined;
-  if (held) counts.resumed++;
+  const existing = offset > 0 ? streams.find(id) : undefined;
+  if (existing) counts.resumed++;
   else counts.started++;
-  const stream = held ?? startStream(exchange, state, id);
+  const stream = existing ?? startStream(exchange, state, id);
   const delayMs = fault?.kind === 'late' ? fault.delayMs : 0;
   setTimeout(
-    () => sendStream(exchange, state, stream, held ? offset : 0, fault),
+    () => sendStream(exchange, state, stream, existing ? offset : 0, fault),
     delayMs,
   );
 }
@@ -70,7 +70,7 @@
   );
 }
 
-/** What a fault does when `afterTokens` were sent; true ends the stream. */
+/** Injects a fault after `afterTokens` tokens were sent. */
 type FaultHandler = (
   response: ServerResponse,
   stream: EngineStream,
@@ -86,7 +86,7 @@
   silent() {},
   truncate: response => void response.end(),
   'cross-chunk'(response, stream) {
-    const chunk = {...stream.chunks.at(-1), id: FOREIGN_ID};
+    const chunk = {...stream.chunks.at(-1), id: OTHER_REQUEST_ID};
     response.write(formatEvent(stream.chunks.length - 1, chunk));
   },
   malformed: (response, stream) =>
@@ -96,8 +96,8 @@
   skip() {},
 };
 
-/** Faults after which the engine goes on sending. */
-const PASSING_FAULTS = new Set<string>(['cross-chunk', 'malformed', 'skip']);
+/** Faults after which the engine continues to send. */
+const NON_FATAL_FAULTS = new Set<string>(['cross-chunk', 'malformed', 'skip']);
 
 function sendStream(
   {response}: EngineExchange,
@@ -106,24 +106,25 @@
   offset: number,
   fault: EngineFault | undefined,
 ) {
-  const strike = fault && FAULT_HANDLERS[fault.kind];
+  const injectFault = fault && FAULT_HANDLERS[fault.kind];
   let sent = 0;
-  let stopped = false;
+  let isStopped = false;
   response.on('close', () => state.streams.detach(stream));
 
-  /** True when the token is not to be sent. */
+  /** Injects the fault if it is due; returns whether to drop the token. */
   function applyFault(): boolean {
-    if (stopped) return true;
-    if (!fault || !strike || sent !== fault.afterTokens) return false;
+    if (isStopped) return true;
+    if (!fault || !injectFault || sent !== fault.afterTokens) return false;
     sent++;
-    strike(response, stream, state);
-    stopped = !PASSING_FAULTS.has(fault.kind);
+    injectFault(response, stream, state);
+    isStopped = !NON_FATAL_FAULTS.has(fault.kind);
     return true;
   }
 
-  function sendHead() {
+  function sendHeaders() {
     if (response.headersSent) return;
-    const id = fault?.kind === 'cross-head' ? FOREIGN_ID : stream.request.id;
+    const id =
+      fault?.kind === 'cross-head' ? OTHER_REQUEST_ID : stream.request.id;
     response.writeHead(200, {
       'content-type': 'text/event-stream',
       [ENGINE_REQUEST_ID]: id,
@@ -132,17 +133,17 @@
     response.flushHeaders();
   }
 
-  if (state.options.headAtOnce) sendHead();
+  if (state.options.headAtOnce) sendHeaders();
   state.streams.attach(stream, offset, {
     handleToken(at, chunk) {
       if (applyFault()) return;
-      sendHead();
+      sendHeaders();
       response.write(formatEvent(at, chunk));
       sent++;
     },
     handleEnd() {
       if (applyFault()) return false;
-      sendHead();
+      sendHeaders();
       response.end('data: [DONE]\n\n');
       return true;
     },
--- a/src/stand_ins/engine/engine_options.ts
+++ b/src/stand_ins/engine/engine_options.ts
@@ -1,56 +1,56 @@
-/** How an engine stand-in behaves, and the faults it is told to have. */
+/** Options and faults of the engine stand-in. */
 import * as z from 'zod';
 
-/** Timing and limits; times in ms. Changed while the stand-in runs. */
+/** Options of a stand-in; may change while it runs. Times are in ms. */
 export const engineOptionsSchema = z.strictObject({
-  /** Tokens of each answer. */
+  /** Number of tokens in each answer. */
   tokens: z.number().int().positive().default(8),
   /** Time to the first token of an uncached prompt. */
   firstTokenMs: z.number().nonnegative().default(2),
-  /** Whether the head of an answer is sent before its first token. */
+  /** Whether response headers are sent before the first token. */
   headAtOnce: z.boolean().default(false),
-  /** Length of one step of the batch, in which each stream gains a token. */
+  /** Duration of a step, which adds one token to each running stream. */
   betweenTokensMs: z.number().nonnegative().default(1),
-  /** Added to a step for each running stream. */
+  /** Time that each running stream adds to a step. */
   stepMsPerStream: z.number().nonnegative().default(0),
-  /** Streams in the batch at once; more wait inside the engine. */
+  /** Maximum number of running streams; more wait inside the engine. */
   maxRunning: z.number().int().positive().default(64),
-  /** Waiting streams beyond which a request is refused before admission. */
+  /** Maximum number of waiting streams; beyond it, requests are refused. */
   maxWaiting: z.number().int().nonnegative().default(100_000),
-  /** How long a stream outlives its connection, to be resumed. */
+  /** Time for which a stream without connection can be resumed. */
   resumeWindowMs: z.number().nonnegative().default(2000),
-  /** Age of the load report. */
+  /** Age of load reports. */
   loadLagMs: z.number().nonnegative().default(0),
-  /** Every n-th cache event is left out; 0 leaves none out. */
+  /** Drops every n-th cache event; 0 drops none. */
   cacheEventGap: z.number().int().nonnegative().default(0),
-  /** Prefixes the cache holds; older ones are evicted. */
+  /** Capacity of the prefix cache; least recently used entries are evicted. */
   cachedPrefixes: z.number().int().positive().default(256),
-  /** Whether an order with an old fencing number is refused. */
+  /** Whether orders with an old fencing number are refused. */
   fencing: z.enum(['enforced', 'ignored']).default('enforced'),
-  /** Streams stand still at this many tokens until it is null again. */
+  /** Number of tokens at which streams stop until this is null again. */
   holdAt: z.number().int().nonnegative().nullable().default(null),
-  /** Its process ends when it begins to run a prompt of this text. */
+  /** The simulated process ends when it receives a prompt with this text. */
   endsOnPrompt: z.string().nullable().default(null),
-  /** Whether repeated runs of a prompt give other text. */
+  /** Whether repeated runs of a prompt give the same text. */
   deterministic: z.boolean().default(true),
 });
 
-/** Checked options. */
+/** Validated options. */
 export type EngineOptions = z.infer<typeof engineOptionsSchema>;
 
 /**
- * What goes wrong with a request:
- * - `refuse`: refused before admission, as documented
- * - `fail`: status 500
- * - `die`: connection reset, the stream is forgotten
- * - `cut`: connection reset, the stream can be resumed
+ * Schema of a fault of one or more requests:
+ * - `refuse`: the request is refused before admission, as documented
+ * - `fail`: the response has status 500
+ * - `die`: the connection is reset and the stream is dropped
+ * - `cut`: the connection is reset, and the stream can be resumed
  * - `silent`: the connection stays open and nothing more is sent
- * - `truncate`: the answer ends without its end mark
- * - `cross-head`: the head names another request
+ * - `truncate`: the response ends without its end marker
+ * - `cross-head`: the response headers name another request
  * - `cross-chunk`: a chunk of another request is sent
- * - `malformed`: an event is cut short in the middle
- * - `skip`: an event is left out
- * - `late`: the answer begins `delayMs` later
+ * - `malformed`: an event is truncated
+ * - `skip`: an event is omitted
+ * - `late`: the response starts `delayMs` later
  */
 export const engineFaultSchema = z.strictObject({
   kind: z.enum([
@@ -66,34 +66,34 @@
     'skip',
     'late',
   ]),
-  /** Tokens sent before it happens; 0 is before the head. */
+  /** Number of tokens sent before the fault; 0 is before the headers. */
   afterTokens: z.number().int().nonnegative().default(0),
-  /** Requests it happens to, one after another. */
+  /** Number of consecutive requests that have the fault. */
   times: z.number().int().positive().default(1),
   delayMs: z.number().nonnegative().default(0),
 });
 
-/** A fault as given; defaults are filled in. */
+/** A fault in which fields with a default may be absent. */
 export type EngineFaultInput = z.input<typeof engineFaultSchema>;
 
-/** A checked fault. */
+/** A validated fault. */
 export type EngineFault = z.infer<typeof engineFaultSchema>;
 
-/** Body of a call to the control endpoint. */
+/** Schema of the body of `POST /control`. */
 export const engineControlSchema = z.strictObject({
   options: engineOptionsSchema.partial().optional(),
   faults: z.array(engineFaultSchema).optional(),
 });
 
-/** Faults to come, in order; each request takes one. */
+/** Queue of faults; each request takes the next one. */
 export interface FaultQueue {
   add(fault: EngineFaultInput): void;
-  /** The fault of the next request. */
+  /** Takes the fault of the next request, if any. */
   take(): EngineFault | undefined;
   clear(): void;
 }
 
-/** Starts without faults. */
+/** Creates an empty queue. */
 export function createFaultQueue(): FaultQueue {
   let faults: EngineFault[] = [];
 
--- a/src/stand_ins/engine/engine_orders.ts
+++ b/src/stand_ins/engine/engine_orders.ts
@@ -1,8 +1,8 @@
-/** Orders that an engine stand-in takes: models, adapters, versions, role. */
+/** Orders of the engine stand-in: models, adapters, versions and roles. */
 import * as z from 'zod';
 import type {EngineOptions} from './engine_options.js';
 
-/** Body of an order. `fencing` grows with each new orderer. */
+/** Schema of an order; each new orderer has a higher `fencing` number. */
 export const engineOrderSchema = z.strictObject({
   kind: z.enum([
     'load-model',
@@ -11,15 +11,15 @@
     'set-version',
     'set-role',
   ]),
-  /** Model, adapter, version or role by name. */
+  /** Name of the model, adapter, version or role. */
   name: z.string(),
   fencing: z.number().int().nonnegative(),
 });
 
-/** A checked order. */
+/** A validated order. */
 export type EngineOrder = z.infer<typeof engineOrderSchema>;
 
-/** What the orders have made of the engine. */
+/** State of the engine as set by orders. */
 export interface EngineRole {
   model: string;
   adapters: string[];
@@ -29,12 +29,12 @@
   fencing: number;
 }
 
-/** Takes orders. */
+/** Applies orders to an engine. */
 export interface EngineOrders {
-  /** False when the order carries an old number and the engine minds. */
+  /** Returns false if the order is fenced: its number is old and is enforced. */
   apply(order: EngineOrder): boolean;
   getRole(): EngineRole;
-  /** Every order taken, to find one that came too late. */
+  /** Lists every applied order, so that tests can find late ones. */
   listApplied(): readonly EngineOrder[];
 }
 
@@ -54,7 +54,7 @@
   'set-role': (role, name) => ({...role, role: name}),
 };
 
-/** Starts with no model named. */
+/** Creates the orders of an engine that has no model yet. */
 export function createEngineOrders(options: EngineOptions): EngineOrders {
   const applied: EngineOrder[] = [];
   let role: EngineRole = {
--- a/src/stand_ins/engine/engine_protocol.ts
+++ b/src/stand_ins/engine/engine_protocol.ts
@@ -1,11 +1,11 @@
-/** Headers of the engines' protocol, as the stand-in speaks it. */
+/** Headers of the engine protocol of the stand-in. */
 
-/** Names a request; the answer's head repeats it. */
+/** Id of a request; the response repeats it. */
 export const ENGINE_REQUEST_ID = 'x-request-id';
 
 /**
- * Asks for a stream from this offset on. The head repeats it when the engine
- * still has the stream; without it, the answer begins anew at 0.
+ * Requests a stream from this offset on. The response repeats the header if the
+ * engine still has the stream; otherwise the answer starts again at 0.
  */
 export const ENGINE_RESUME_OFFSET = 'x-resume-offset';
 
--- a/src/stand_ins/engine/engine_routes.ts
+++ b/src/stand_ins/engine/engine_routes.ts
@@ -1,11 +1,11 @@
-/** The paths of the engine stand-in, in one table. */
+/** Routes of the engine stand-in. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import {serveCompletion} from './engine_answer.js';
+import {serveCompletion} from './engine_completion.js';
 import {engineControlSchema} from './engine_options.js';
 import {engineOrderSchema} from './engine_orders.js';
 import type {EngineState} from './engine_server.js';
 
-/** One request to the stand-in, with its body read. */
+/** A request to the stand-in with its complete body, and its response. */
 export interface EngineExchange {
   request: IncomingMessage;
   response: ServerResponse;
@@ -95,7 +95,7 @@
   },
 ];
 
-/** Reads the request and hands it to its route. */
+/** Reads a request and passes it to its route. */
 export async function dispatchRequest(
   request: IncomingMessage,
   response: ServerResponse,
@@ -118,7 +118,7 @@
   return decodeURIComponent(url.pathname.split('/').at(-1) ?? '');
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response. */
 export function respondJson(
   response: ServerResponse,
   status: number,
--- a/src/stand_ins/engine/engine_server.ts
+++ b/src/stand_ins/engine/engine_server.ts
@@ -1,7 +1,7 @@
 /**
- * A model engine stand-in on loopback: continuous batching, streams that
- * resume by request id and offset, orders, cache events, load reports, and
- * faults on command (see engine_options.ts and the `/control` path).
+ * A model engine stand-in on loopback. It has continuous batching, streams that
+ * resume by request id and offset, orders, cache events and load reports. Tests
+ * inject faults through `faults` or the `/control` path; see engine_options.ts.
  */
 import {
   createServer,
@@ -20,16 +20,16 @@
 import {dispatchRequest} from './engine_routes.js';
 import {createEngineStreams, type EngineStreams} from './engine_streams.js';
 
-/** What the stand-in has counted. */
+/** Counts since the start of the stand-in. */
 export interface EngineCounts {
-  /** Streams begun: a request run twice counts twice. */
+  /** Streams started; a request that ran twice counts twice. */
   started: number;
   resumed: number;
   refused: number;
   cancelled: number;
 }
 
-/** Load as it was a while ago. */
+/** A load report. */
 export interface EngineLoad {
   at: number;
   running: number;
@@ -37,7 +37,7 @@
   cacheUsage: number;
 }
 
-/** The parts of a running stand-in that its routes work with. */
+/** The parts of a running stand-in that its routes use. */
 export interface EngineState {
   options: EngineOptions;
   faults: FaultQueue;
@@ -45,25 +45,25 @@
   cache: EngineCache;
   orders: EngineOrders;
   counts: EngineCounts;
-  /** What it received: header blocks and bodies, to look for leaks. */
+  /** Headers and bodies of all requests, so that tests can search for leaks. */
   received: string[];
-  /** Ends the process: its machine refuses connections from now on. */
+  /** Simulates the end of the process; new connections are refused. */
   halt(): void;
-  /** Measures the load now and returns it as of `loadLagMs` ago. */
+  /** Measures the load and returns the measurement of `loadLagMs` ago. */
   reportLoad(): EngineLoad;
 }
 
 /** A running engine stand-in. */
 export interface EngineServer extends Omit<EngineState, 'reportLoad'> {
   address: string;
-  /** Closes every connection and forgets every stream, as a crash does. */
+  /** Closes every connection and drops every stream, as a crash does. */
   crash(): void;
-  /** Whether a prompt has ended its process. */
+  /** Returns whether a prompt ended the simulated process. */
   hasEnded(): boolean;
   stop(): Promise<void>;
 }
 
-/** Starts an engine on loopback; port 0 takes a free one. */
+/** Starts an engine on loopback; port 0 picks a free port. */
 export async function startEngineServer(
   options: Partial<EngineOptions> = {},
   port = 0,
@@ -98,10 +98,10 @@
 }
 
 function createEngineState(
-  given: Partial<EngineOptions>,
+  overrides: Partial<EngineOptions>,
   halt: () => void,
 ): EngineState {
-  const options = engineOptionsSchema.parse(given);
+  const options = engineOptionsSchema.parse(overrides);
   const streams = createEngineStreams(options);
   const cache = createEngineCache(options);
   return {
@@ -117,7 +117,10 @@
   };
 }
 
-/** Reports lag: each call measures, and returns the newest old enough. */
+/**
+ * Creates a load report that lags: each call measures the load, and returns the
+ * newest measurement that is at least `loadLagMs` old.
+ */
 function createLoadReport(
   options: EngineOptions,
   streams: EngineStreams,
@@ -132,8 +135,10 @@
       waiting: streams.countWaiting(),
       cacheUsage: cache.computeUsage(),
     });
-    const old = measured.filter(load => load.at <= at - options.loadLagMs);
-    const reported = old.at(-1) ?? measured[0];
+    const oldEnough = measured.filter(
+      load => load.at <= at - options.loadLagMs,
+    );
+    const reported = oldEnough.at(-1) ?? measured[0];
     measured = measured.filter(load => load.at >= reported.at);
     return reported;
   };
@@ -147,7 +152,7 @@
   try {
     await dispatchRequest(request, response, state);
   } catch {
-    // The connection ended while the request was read, or its body is wrong.
+    // The connection closed while the request was read, or its body is invalid.
     if (!response.headersSent) response.writeHead(400);
     response.end();
   }
--- a/src/stand_ins/engine/engine_streams.ts
+++ b/src/stand_ins/engine/engine_streams.ts
@@ -1,11 +1,11 @@
 /**
- * The batch of an engine stand-in: all running streams gain one token in each
- * step, requests are admitted as they arrive, and a stream outlives its
- * connection for a while so that it can be resumed.
+ * Continuous batching of the engine stand-in: each step adds one token to every
+ * running stream, and requests are admitted as they arrive. A stream outlives
+ * its connection for `resumeWindowMs` so that it can be resumed.
  */
 import type {EngineOptions} from './engine_options.js';
 
-/** What a request asks for. */
+/** The request of a stream. */
 export interface StreamRequest {
   id: string;
   model: string;
@@ -13,10 +13,10 @@
   prompt: string;
 }
 
-/** Told of each token, by its offset in the answer. */
+/** Receives each token with its offset in the answer. */
 export interface TokenListener {
   handleToken(offset: number, chunk: object): void;
-  /** False when the connection did not carry the end: it can be resumed. */
+  /** Returns false if the end was not sent, so that the stream can be resumed. */
   handleEnd(): boolean;
 }
 
@@ -34,7 +34,7 @@
 export interface EngineStreams {
   start(request: StreamRequest, prefillMs: number): EngineStream;
   find(id: string): EngineStream | undefined;
-  /** Replays tokens from `offset`, then sends each new one. */
+  /** Sends the stored tokens from `offset` on, then each new one. */
   attach(stream: EngineStream, offset: number, listener: TokenListener): void;
   detach(stream: EngineStream): void;
   remove(id: string): boolean;
@@ -43,11 +43,11 @@
   clear(): void;
 }
 
-/** `options` are read at each step, so that they can change. */
+/** Creates the streams; `options` are read in each step, so they may change. */
 export function createEngineStreams(options: EngineOptions): EngineStreams {
   const streams = new Map<string, EngineStream>();
   let cancelStep: (() => void) | undefined;
-  let runs = 0;
+  let runCount = 0;
 
   function listOpen(): EngineStream[] {
     return [...streams.values()].filter(stream => !stream.ended);
@@ -68,19 +68,19 @@
     cancelStep = undefined;
     const now = performance.now();
     for (const stream of listOpen().slice(0, options.maxRunning)) {
-      if (stream.readyAt <= now && !isHeld(stream)) generateToken(stream);
+      if (stream.readyAt <= now && !isPaused(stream)) generateToken(stream);
     }
     expireAbandoned(now);
     scheduleStep();
   }
 
-  function isHeld({chunks}: EngineStream): boolean {
+  function isPaused({chunks}: EngineStream): boolean {
     return options.holdAt !== null && chunks.length >= options.holdAt;
   }
 
   function generateToken(stream: EngineStream) {
     const offset = stream.chunks.length;
-    const chunk = buildChunk(stream.request, offset, options.tokens, runs);
+    const chunk = buildChunk(stream.request, offset, options.tokens, runCount);
     stream.chunks.push(chunk);
     stream.listener?.handleToken(offset, chunk);
     if (stream.chunks.length < options.tokens) return;
@@ -103,7 +103,7 @@
 
   return {
     start(request, prefillMs) {
-      if (!options.deterministic) runs++;
+      if (!options.deterministic) runCount++;
       const stream: EngineStream = {
         request,
         chunks: [],
@@ -141,7 +141,7 @@
   };
 }
 
-/** A step of no length is the next turn of the event loop: timers take 1 ms. */
+/** Uses setImmediate for a delay of 0, because timers take at least 1 ms. */
 function scheduleAfter(delayMs: number, task: () => void): () => void {
   if (delayMs > 0) {
     const timer = setTimeout(task, delayMs);
@@ -165,9 +165,9 @@
 };
 
 /**
- * Token `offset` of the answer; the text follows from the prompt, so that a
- * test can tell whether an answer is whole and whose it is. `run` above 0
- * marks the text of an engine that is not deterministic.
+ * Builds the chunk of token `offset`. The text depends on the prompt, so that a
+ * test can check that an answer is complete and belongs to its request. `run` is
+ * above 0 on an engine that is not deterministic, and becomes part of the text.
  */
 function buildChunk(
   request: StreamRequest,
--- a/src/stand_ins/platform/dynamo_decoder.ts
+++ b/src/stand_ins/platform/dynamo_decoder.ts
@@ -1,4 +1,4 @@
-/** Steps of transactions as the DynamoDB JSON protocol words them. */
+/** Decodes the operations of transactions from DynamoDB JSON. */
 import * as z from 'zod';
 import {
   decodeAttribute,
@@ -14,7 +14,7 @@
 } from '../../stores/table_store.js';
 import {LimitError} from './memory_table.js';
 
-/** A row's key on the wire. */
+/** Schema of an encoded row key. */
 export const keySchema = itemSchema.pick({pk: true, sk: true});
 const attributesSchema = z.record(z.string(), z.unknown()).default({});
 
@@ -24,7 +24,7 @@
   ExpressionAttributeValues: attributesSchema,
 });
 
-/** One step on the wire. */
+/** Schema of an encoded operation. */
 export const operationSchema = z.union([
   z.strictObject({Put: conditionSchema.extend({Item: itemSchema})}),
   z.strictObject({Delete: conditionSchema.extend({Key: keySchema})}),
@@ -33,7 +33,7 @@
 
 type EncodedCondition = z.infer<typeof conditionSchema>;
 
-/** A step; throws LimitError for what this product never writes. */
+/** Decodes an operation; throws LimitError if this product never writes it. */
 export function decodeOperation(
   operation: z.infer<typeof operationSchema>,
 ): WriteOperation {
@@ -50,7 +50,7 @@
 ): WriteOperation {
   const condition = decodeCondition(put);
   const row = decodeItem(put.Item);
-  if (condition.kind === 'fields') throw failValidation('a put of a row');
+  if (condition.kind === 'fields') throw createLimitError('a put of a row');
   const operation = {
     kind: 'put',
     key: row.key,
@@ -58,12 +58,12 @@
     condition,
   } as const;
   if (row.version === computePutVersion(operation)) return operation;
-  throw failValidation('a version that does not follow');
+  throw createLimitError('a version that does not follow');
 }
 
 const COMPARISON = /^f\.(#\w+) = (:\w+)$/;
 
-/** The expressions that this product writes; others are refused. */
+/** Decodes the expressions that this product writes; throws on any other. */
 function decodeCondition(encoded: EncodedCondition): Condition {
   const {ConditionExpression: expression} = encoded;
   const readValue = (name: string) =>
@@ -77,13 +77,13 @@
   }
   const pairs = expression.split(' AND ').map(part => {
     const match = COMPARISON.exec(part);
-    if (!match) throw failValidation(expression);
+    if (!match) throw createLimitError(expression);
     const [, name, value] = match;
     return [encoded.ExpressionAttributeNames[name], readValue(value)] as const;
   });
   return {kind: 'fields', equals: Object.fromEntries(pairs)};
 }
 
-function failValidation(what: string): LimitError {
+function createLimitError(what: string): LimitError {
   return new LimitError(`the stand-in does not take ${what}`);
 }
--- a/src/stand_ins/platform/dynamo_routes.ts
+++ b/src/stand_ins/platform/dynamo_routes.ts
@@ -1,4 +1,4 @@
-/** The table service's protocol (DynamoDB JSON) over the table in memory. */
+/** Serves the in-memory table over the protocol of the table service, DynamoDB JSON. */
 import * as z from 'zod';
 import {decodeKey, encodeItem, encodeKey} from '../../stores/dynamo_codec.js';
 import {
@@ -8,17 +8,17 @@
 } from '../../stores/table_store.js';
 import {decodeOperation, keySchema, operationSchema} from './dynamo_decoder.js';
 import {
-  buildJsonAnswer,
-  type PreparedAnswer,
+  buildJsonResponse,
+  type PreparedResponse,
   type ReceivedRequest,
-} from './http_answers.js';
+} from './http_messages.js';
 import {LimitError, type MemoryTable} from './memory_table.js';
 import {ThrottledError} from './platform_faults.js';
 
-/** One answer of a query carries at most so much. */
+/** Maximum size of one page of a query. */
 const QUERY_PAGE_BYTES = 1024 * 1024;
 
-/** How long the service remembers a client request token, in ms. */
+/** Time for which the service stores a client request token. */
 const TOKEN_LIFETIME_MS = 600_000;
 
 const getSchema = z.object({Key: keySchema});
@@ -41,20 +41,22 @@
   TransactItems: z.array(operationSchema),
 });
 
-interface RememberedToken {
+interface StoredToken {
   body: string;
   at: number;
 }
 
-/** Answers requests of the table's protocol. */
-export type DynamoRoute = (request: ReceivedRequest) => Promise<PreparedAnswer>;
+/** Handles requests of the table service's protocol. */
+export type DynamoRoute = (
+  request: ReceivedRequest,
+) => Promise<PreparedResponse>;
 
-/** `getNow` is the time in ms by which client request tokens age. */
+/** Creates the route; `getNow` returns the time, in ms, that expires tokens. */
 export function createDynamoRoute(
   table: MemoryTable,
   getNow: () => number,
 ): DynamoRoute {
-  const tokens = new Map<string, RememberedToken>();
+  const tokens = new Map<string, StoredToken>();
 
   function expireTokens() {
     for (const [token, {at}] of tokens) {
@@ -63,24 +65,24 @@
     }
   }
 
-  async function transactItems(body: string): Promise<PreparedAnswer> {
+  async function transactItems(body: string): Promise<PreparedResponse> {
     const input = transactSchema.parse(JSON.parse(body));
     const token = input.ClientRequestToken;
     expireTokens();
-    const remembered = tokens.get(token);
-    if (remembered && remembered.body !== body) {
-      return buildError('IdempotentParameterMismatchException');
+    const stored = tokens.get(token);
+    if (stored && stored.body !== body) {
+      return buildErrorResponse('IdempotentParameterMismatchException');
     }
-    if (remembered) {
-      // The real service still reads: so a repeat meets the faults, too.
+    if (stored) {
+      // The real service still reads the table, so a repeat is subject to faults too.
       await table.get({partition: '', sort: ''});
-      return buildJsonAnswer(200, {});
+      return buildJsonResponse(200, {});
     }
     const operations = input.TransactItems.map(decodeOperation);
     const outcome = await transactOnce(token, body, operations);
     return outcome.kind === 'committed'
-      ? buildJsonAnswer(200, {})
-      : buildCancelled(outcome.index, operations.length);
+      ? buildJsonResponse(200, {})
+      : buildCancelledResponse(outcome.index, operations.length);
   }
 
   async function transactOnce(
@@ -88,25 +90,26 @@
     body: string,
     operations: WriteOperation[],
   ): Promise<TransactionOutcome> {
-    const remember = () => tokens.set(token, {body, at: getNow()});
+    const storeToken = () => tokens.set(token, {body, at: getNow()});
     try {
       const outcome = await table.transactAs(
         operations,
         findWriteId(body, token),
       );
-      if (outcome.kind === 'committed') remember();
+      if (outcome.kind === 'committed') storeToken();
       return outcome;
     } catch (error) {
-      if (error instanceof StoreError && error.effect === 'unknown') remember();
+      if (error instanceof StoreError && error.effect === 'unknown')
+        storeToken();
       throw error;
     }
   }
 
-  const actions: Record<string, (body: string) => Promise<PreparedAnswer>> = {
+  const actions: Record<string, (body: string) => Promise<PreparedResponse>> = {
     async GetItem(body) {
       const {Key} = getSchema.parse(JSON.parse(body));
       const row = await table.get(decodeKey(Key));
-      return buildJsonAnswer(200, row ? {Item: encodeItem(row)} : {});
+      return buildJsonResponse(200, row ? {Item: encodeItem(row)} : {});
     },
     async Query(body) {
       const input = querySchema.parse(JSON.parse(body));
@@ -117,33 +120,37 @@
         after: input.ExclusiveStartKey?.sk.S,
       });
       const page = takePage(rows.map(encodeItem), input.Limit);
-      const more = page.length < rows.length;
-      const last = more
+      const hasMore = page.length < rows.length;
+      const last = hasMore
         ? {LastEvaluatedKey: encodeKey(rows[page.length - 1].key)}
         : {};
-      return buildJsonAnswer(200, {Items: page, ...last});
+      return buildJsonResponse(200, {Items: page, ...last});
     },
     TransactWriteItems: transactItems,
   };
 
   return async request => {
     const action = request.headers['x-amz-target']?.split('.').at(-1) ?? '';
-    if (!actions[action]) return buildError('UnknownOperationException');
+    if (!actions[action])
+      return buildErrorResponse('UnknownOperationException');
     try {
       return await actions[action](request.body.toString('utf8'));
     } catch (error) {
       if (error instanceof ThrottledError) {
-        return buildError('ProvisionedThroughputExceededException');
+        return buildErrorResponse('ProvisionedThroughputExceededException');
       }
       if (error instanceof z.ZodError || error instanceof LimitError) {
-        return buildError('ValidationException', (error as Error).message);
+        return buildErrorResponse(
+          'ValidationException',
+          (error as Error).message,
+        );
       }
       throw error;
     }
   };
 }
 
-/** The write id that the rows of a transaction carry; its token without rows. */
+/** Returns the write id in the rows of a transaction; without rows, its token. */
 function findWriteId(body: string, token: string): string {
   const items = transactSchema.parse(JSON.parse(body)).TransactItems;
   const put = items.find(item => 'Put' in item);
@@ -152,24 +159,27 @@
 
 function takePage<Item>(items: Item[], limit = Infinity): Item[] {
   let bytes = 0;
-  const fitting = items.findIndex(item => {
+  const overflowIndex = items.findIndex(item => {
     bytes += Buffer.byteLength(JSON.stringify(item));
     return bytes > QUERY_PAGE_BYTES;
   });
-  const count = fitting < 0 ? items.length : Math.max(1, fitting);
+  const count = overflowIndex < 0 ? items.length : Math.max(1, overflowIndex);
   return items.slice(0, Math.min(count, limit));
 }
 
-function buildError(code: string, message = code): PreparedAnswer {
+function buildErrorResponse(code: string, message = code): PreparedResponse {
   const type = `com.amazonaws.dynamodb.v20120810#${code}`;
-  return buildJsonAnswer(400, {__type: type, message});
+  return buildJsonResponse(400, {__type: type, message});
 }
 
-function buildCancelled(index: number, count: number): PreparedAnswer {
+function buildCancelledResponse(
+  index: number,
+  count: number,
+): PreparedResponse {
   const reasons = Array.from({length: count}, (_none, at) => ({
     Code: at === index ? 'ConditionalCheckFailed' : 'None',
   }));
-  return buildJsonAnswer(400, {
+  return buildJsonResponse(400, {
     __type: 'com.amazonaws.dynamodb.v20120810#TransactionCanceledException',
     message: 'Transaction cancelled',
     CancellationReasons: reasons,
--- a/src/stand_ins/platform/http_answers.ts
+++ b/src/stand_ins/platform/http_messages.ts
@@ -1,24 +1,24 @@
-/** What the routes of the platform stand-in have in common. */
+/** Requests and responses shared by the routes of the platform stand-in. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
-/** A request with its body read. */
+/** A received request with its complete body. */
 export interface ReceivedRequest {
   method: string;
-  /** As sent: path and query, still percent-encoded. */
+  /** Path and query as sent, still percent-encoded. */
   target: string;
   url: URL;
   headers: Record<string, string | undefined>;
   body: Buffer;
 }
 
-/** What is sent back. */
-export interface PreparedAnswer {
+/** A response to send. */
+export interface PreparedResponse {
   status: number;
   headers?: Record<string, string>;
   body?: string | Buffer;
 }
 
-/** Reads a request to its end. */
+/** Reads a request and its complete body. */
 export async function readRequest(
   request: IncomingMessage,
 ): Promise<ReceivedRequest> {
@@ -34,25 +34,25 @@
   };
 }
 
-/** Sends an answer; HEAD leaves out the body but not its length. */
-export function sendAnswer(
+/** Sends a response; to HEAD, without the body but with its length. */
+export function sendResponse(
   request: ReceivedRequest,
   response: ServerResponse,
-  answer: PreparedAnswer,
+  prepared: PreparedResponse,
 ): void {
-  const body = Buffer.from(answer.body ?? '');
-  response.writeHead(answer.status, {
+  const body = Buffer.from(prepared.body ?? '');
+  response.writeHead(prepared.status, {
     'content-length': body.length,
-    ...answer.headers,
+    ...prepared.headers,
   });
   response.end(request.method === 'HEAD' ? undefined : body);
 }
 
-/** An answer of JSON. */
-export function buildJsonAnswer(
+/** Builds a JSON response. */
+export function buildJsonResponse(
   status: number,
   value: unknown,
-): PreparedAnswer {
+): PreparedResponse {
   return {
     status,
     headers: {'content-type': 'application/json'},
--- a/src/stand_ins/platform/list_answer.ts
+++ b/src/stand_ins/platform/instance_list_route.ts
@@ -1,14 +1,14 @@
-/** The instance list as HTTP answers it: by ETag, and compressed on request. */
+/** Serves the instance list over HTTP, with an ETag and optional compression. */
 import {gzipSync} from 'node:zlib';
 import {hashText} from '../../common/ids.js';
 import type {ListedInstance} from '../../stores/instance_list.js';
-import type {PreparedAnswer, ReceivedRequest} from './http_answers.js';
+import type {PreparedResponse, ReceivedRequest} from './http_messages.js';
 
-/** 304 when the asker has this version already. */
-export function buildListAnswer(
+/** Builds the response; 304 if the client already has this version. */
+export function buildListResponse(
   {headers}: ReceivedRequest,
   list: readonly ListedInstance[],
-): PreparedAnswer {
+): PreparedResponse {
   const text = JSON.stringify(list);
   const etag = `"${hashText(text).slice(0, 16)}"`;
   if (headers['if-none-match'] === etag) return {status: 304, headers: {etag}};
--- a/src/stand_ins/platform/memory_objects.ts
+++ b/src/stand_ins/platform/memory_objects.ts
@@ -1,4 +1,4 @@
-/** The object store in memory. */
+/** An in-memory object store. */
 import {
   type ByteRange,
   type ObjectStore,
@@ -8,9 +8,9 @@
 import {OBJECT_WRITES, type FaultGate} from './platform_faults.js';
 
 const LIST_LIMIT = 1000;
-const STREAM_PIECE_BYTES = 64 * 1024;
+const STREAM_CHUNK_BYTES = 64 * 1024;
 
-/** Starts empty. */
+/** Creates an empty store. */
 export function createMemoryObjects(gate: FaultGate): ObjectStore {
   const objects = new Map<string, Buffer>();
 
@@ -26,41 +26,49 @@
   async function writeObject(name: string, body: Buffer) {
     await gate.enter('objects', 'write');
     objects.set(name, body);
-    gate.loseAnswer([OBJECT_WRITES]);
+    gate.loseResponse([OBJECT_WRITES]);
   }
 
   return {
     put: (name, body) => writeObject(name, Buffer.from(body)),
     async openUpload(name): Promise<ObjectUpload> {
       await gate.enter('objects', 'write');
-      const pieces: Buffer[] = [];
-      let open = true;
+      const chunks: Buffer[] = [];
+      let isOpen = true;
       return {
-        async append(piece) {
-          if (!open) throw new StoreError('the upload has ended', 'none');
+        async append(chunk) {
+          if (!isOpen)
+            throw new StoreError(
+              'upload is already completed or cancelled',
+              'none',
+            );
           await gate.enter('objects', 'write');
-          pieces.push(Buffer.from(piece));
+          chunks.push(Buffer.from(chunk));
         },
         async complete() {
-          if (!open) throw new StoreError('the upload has ended', 'none');
-          await writeObject(name, Buffer.concat(pieces));
-          open = false;
+          if (!isOpen)
+            throw new StoreError(
+              'upload is already completed or cancelled',
+              'none',
+            );
+          await writeObject(name, Buffer.concat(chunks));
+          isOpen = false;
         },
         async cancel() {
-          open = false;
-          pieces.length = 0;
+          isOpen = false;
+          chunks.length = 0;
         },
       };
     },
     get: readObject,
     async stream(name, range) {
       const body = await readObject(name, range);
-      return body && streamPieces(body, gate);
+      return body && streamChunks(body, gate);
     },
     async delete(name) {
       await gate.enter('objects', 'write');
       objects.delete(name);
-      gate.loseAnswer([OBJECT_WRITES]);
+      gate.loseResponse([OBJECT_WRITES]);
     },
     async list(prefix, after = '') {
       await gate.enter('objects', 'read');
@@ -72,16 +80,19 @@
   };
 }
 
-/** Breaks off when the store goes down in the middle. */
-async function* streamPieces(
+/** Streams a body; throws when the store goes down before its end. */
+async function* streamChunks(
   body: Buffer,
   gate: FaultGate,
 ): AsyncIterable<Buffer> {
-  for (let at = 0; at < body.length; at += STREAM_PIECE_BYTES) {
+  for (let at = 0; at < body.length; at += STREAM_CHUNK_BYTES) {
     const {down, downServices} = gate.faults;
     if (down || downServices.includes('objects')) {
-      throw new StoreError('the object broke off', 'none');
+      throw new StoreError(
+        'object store went down while the object was read',
+        'none',
+      );
     }
-    yield body.subarray(at, at + STREAM_PIECE_BYTES);
+    yield body.subarray(at, at + STREAM_CHUNK_BYTES);
   }
 }
--- a/src/stand_ins/platform/memory_platform.ts
+++ b/src/stand_ins/platform/memory_platform.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's services in memory, with the faults they are known for.
- * Conditions and transactions are enforced as the real ones enforce them.
+ * An in-memory platform with the faults that real platforms have. It enforces
+ * conditions and transactions as the real services do.
  */
 import {createSystemClock, type Clock} from '../../common/clock.js';
 import type {ListedInstance} from '../../stores/instance_list.js';
@@ -16,20 +16,20 @@
 export {isMet} from '../../stores/table_store.js';
 export type {PlatformFaults} from './platform_faults.js';
 
-/** The in-memory platform with its controls. */
+/** The in-memory platform with the controls for a test. */
 export interface MemoryPlatform extends Platform {
   table: MemoryTable;
-  /** Changed in place; see PlatformFaults. */
+  /** Faults to inject; change them in place. */
   faults: PlatformFaults;
-  /** Replaces the instance list; seen after its lag. */
+  /** Replaces the instance list; readers see it after `instanceListLagMs`. */
   setInstances(instances: ListedInstance[]): void;
-  /** The list as it is now, without lag. */
+  /** Returns the current list, without the lag. */
   getInstances(): ListedInstance[];
-  /** Calls that reached the store. */
+  /** Counts of the calls to the platform. */
   counts: PlatformCounts;
 }
 
-/** Starts empty and healthy. Slowness, capacity and lag pass on `clock`. */
+/** Creates an empty platform without faults; `clock` times all delays. */
 export function createMemoryPlatform(
   clock: Clock = createSystemClock(),
 ): MemoryPlatform {
@@ -38,8 +38,8 @@
 
   function findListed(now: number): ListedInstance[] {
     const lag = gate.faults.instanceListLagMs;
-    const shown = changes.findLast(change => change.at + lag <= now);
-    return shown?.instances ?? [];
+    const visible = changes.findLast(change => change.at + lag <= now);
+    return visible?.instances ?? [];
   }
 
   return {
--- a/src/stand_ins/platform/memory_table.ts
+++ b/src/stand_ins/platform/memory_table.ts
@@ -1,4 +1,4 @@
-/** The table service in memory, with the limits of the real ones. */
+/** An in-memory table service with the limits of the real services. */
 import {generateId} from '../../common/ids.js';
 import {
   MAX_ROW_BYTES,
@@ -14,7 +14,7 @@
 } from '../../stores/table_store.js';
 import type {FaultGate} from './platform_faults.js';
 
-/** The request breaks a limit of the service: nothing was written. */
+/** The request exceeds a limit of the service, which wrote nothing. */
 export class LimitError extends StoreError {
   constructor(message: string) {
     super(message, 'none');
@@ -22,16 +22,16 @@
   }
 }
 
-/** The table, with what only its stand-in server asks of it. */
+/** The table, with an extra method for the stand-in server. */
 export interface MemoryTable extends TableStore {
-  /** As `transact` under a write id given by the client. */
+  /** Like `transact`, but with a write id that the client chose. */
   transactAs(
     operations: readonly WriteOperation[],
     writeId: string,
   ): Promise<TransactionOutcome>;
 }
 
-/** Starts empty. */
+/** Creates an empty table. */
 export function createMemoryTable(gate: FaultGate): MemoryTable {
   const rows = new Map<string, Map<string, Row>>();
 
@@ -66,7 +66,7 @@
     );
     if (index >= 0) return {kind: 'conflict', index};
     for (const operation of operations) applyOperation(operation, writeId);
-    gate.loseAnswer(operations.map(operation => operation.key.partition));
+    gate.loseResponse(operations.map(operation => operation.key.partition));
     return {kind: 'committed', writeId};
   }
 
@@ -78,15 +78,15 @@
     },
     async query(partition, range) {
       await gate.enter('table', 'read');
-      const held = [...(rows.get(partition)?.values() ?? [])];
-      return structuredClone(selectRange(held, range));
+      const partitionRows = [...(rows.get(partition)?.values() ?? [])];
+      return structuredClone(selectRange(partitionRows, range));
     },
     transact: operations => transactAs(operations, generateId('write')),
     transactAs,
   };
 }
 
-/** The limits that the real service refuses a transaction for. */
+/** Throws LimitError where the real service refuses a transaction. */
 function checkLimits(operations: readonly WriteOperation[]) {
   if (operations.length > MAX_TRANSACTION_OPERATIONS) {
     throw new LimitError('too many operations');
--- a/src/stand_ins/platform/platform_faults.ts
+++ b/src/stand_ins/platform/platform_faults.ts
@@ -1,60 +1,60 @@
 /**
- * The faults a platform is known for, and the gate that every call of the
- * stand-in passes through to meet them.
+ * Faults of the platform stand-in, and the gate that injects them. Every call of
+ * the stand-in passes through the gate.
  */
 import * as z from 'zod';
 import {waitFor, type Clock} from '../../common/clock.js';
 import {StoreError} from '../../stores/table_store.js';
 
-/** The three services of a platform. */
+/** Schema of the names of the three services of a platform. */
 export const platformServiceSchema = z.enum(['table', 'objects', 'instances']);
 
-/** One of the platform's services. */
+/** Name of a service of the platform. */
 export type PlatformService = z.infer<typeof platformServiceSchema>;
 
-/** Kind of every write to the object store, among table partitions. */
+/** Write kind of the object store, used next to the table partitions. */
 export const OBJECT_WRITES = 'objects';
 
 const countSchema = z.number().int().min(0);
 
-/** How the stand-in behaves until told otherwise. */
+/** Schema of the faults; the defaults are a healthy platform. */
 export const platformFaultsSchema = z.strictObject({
   /** No call reaches any service. */
   down: z.boolean().default(false),
   /** No call reaches these services. */
   downServices: z.array(platformServiceSchema).default([]),
-  /** Writes take effect, then their answer is lost: this many more times. */
+  /** Number of future writes that take effect but lose their response. */
   answersToLose: countSchema.default(0),
-  /** The same for writes of one kind: a table partition, or `objects`. */
+  /** The same for writes of one kind, a table partition or `objects`. */
   answersToLoseOf: z.record(z.string(), countSchema).default({}),
-  /** Every call waits so long, in ms, before it takes effect. */
+  /** Delay of every call before it takes effect, in ms. */
   slowMs: z.number().min(0).default(0),
-  /** Every call is refused because the service has too much to do. */
+  /** Every call is throttled, as by an overloaded service. */
   throttled: z.boolean().default(false),
-  /** Calls a second that are let through; the rest is throttled. */
+  /** Maximum number of reads and writes per second; the rest is throttled. */
   readsPerS: z.number().positive().default(Infinity),
   writesPerS: z.number().positive().default(Infinity),
-  /** A change of the instance list is seen so many ms later. */
+  /** Delay until readers see a change of the instance list, in ms. */
   instanceListLagMs: z.number().min(0).default(0),
 });
 
-/** Faults in force. */
+/** The active faults. */
 export type PlatformFaults = z.infer<typeof platformFaultsSchema>;
 
-/** Calls since the start. */
+/** Counts of calls since the start. */
 export interface PlatformCounts {
-  /** Calls that reached a service. */
+  /** Calls that a service processed. */
   reads: number;
   writes: number;
   /** Rows put, deleted or checked by transactions. */
   rowsWritten: number;
-  /** Calls refused for want of capacity. */
+  /** Calls throttled by faults or capacity. */
   throttled: number;
-  /** Calls that met a service that was down. */
+  /** Calls to a service that was down. */
   refused: number;
 }
 
-/** The service has too much to do: nothing was written. */
+/** The service is over its capacity and wrote nothing. */
 export class ThrottledError extends StoreError {
   constructor() {
     super('the service is over its capacity', 'none');
@@ -62,17 +62,17 @@
   }
 }
 
-/** Lets calls through, or brings the faults in force about. */
+/** Lets calls pass or injects the active faults. */
 export interface FaultGate {
   faults: PlatformFaults;
   counts: PlatformCounts;
-  /** Passes one call; throws StoreError. */
+  /** Lets one call pass; throws StoreError if a fault applies. */
   enter(service: PlatformService, effect: 'read' | 'write'): Promise<void>;
-  /** Called after a write took effect; throws when its answer is to be lost. */
-  loseAnswer(kinds: readonly string[]): void;
+  /** Called after a write took effect; throws if its response must be lost. */
+  loseResponse(kinds: readonly string[]): void;
 }
 
-/** Starts healthy. */
+/** Creates a gate without faults. */
 export function createFaultGate(clock: Clock): FaultGate {
   const faults = platformFaultsSchema.parse({});
   const counts: PlatformCounts = {
@@ -87,7 +87,7 @@
     write: createCapacity(clock, () => faults.writesPerS),
   };
 
-  function checkUp(service: PlatformService) {
+  function checkAvailable(service: PlatformService) {
     if (!faults.down && !faults.downServices.includes(service)) return;
     counts.refused++;
     throw new StoreError('the service is down', 'none');
@@ -103,12 +103,12 @@
     faults,
     counts,
     async enter(service, effect) {
-      checkUp(service);
+      checkAvailable(service);
       checkCapacity(effect);
       counts[effect === 'read' ? 'reads' : 'writes']++;
       if (faults.slowMs > 0) await waitFor(clock, faults.slowMs);
     },
-    loseAnswer(kinds) {
+    loseResponse(kinds) {
       const kind = kinds.find(one => (faults.answersToLoseOf[one] ?? 0) > 0);
       if (kind !== undefined) faults.answersToLoseOf[kind]--;
       else if (faults.answersToLose > 0) faults.answersToLose--;
@@ -118,7 +118,7 @@
   };
 }
 
-/** A bucket that holds one second of a rate that may change. */
+/** Creates a token bucket that holds 1 s of a rate, which may change. */
 function createCapacity(clock: Clock, getRate: () => number) {
   let tokens: number | undefined;
   let filledAt = 0;
@@ -127,8 +127,11 @@
       const rate = getRate();
       if (rate === Infinity) return true;
       const now = clock.now();
-      const held = tokens ?? rate;
-      tokens = Math.min(rate, held + ((now - filledAt) * rate) / 1000);
+      const previousTokens = tokens ?? rate;
+      tokens = Math.min(
+        rate,
+        previousTokens + ((now - filledAt) * rate) / 1000,
+      );
       filledAt = now;
       if (tokens < 1) return false;
       tokens--;
--- a/src/stand_ins/platform/platform_server.ts
+++ b/src/stand_ins/platform/platform_server.ts
@@ -1,7 +1,7 @@
 /**
- * The platform on loopback: table service, object store and instance list over
- * their protocols, on one port, over the platform in memory. A service that is
- * down, and an answer that is lost, show as a connection that breaks.
+ * A platform stand-in on loopback. It serves the table service, the object store
+ * and the instance list over their protocols on one port, from an in-memory
+ * platform. If a service is down or a response is lost, the connection is closed.
  */
 import {createServer, type ServerResponse} from 'node:http';
 import {listenServer} from '../../common/listen.js';
@@ -10,41 +10,41 @@
 import {handleControl} from './control_routes.js';
 import {createDynamoRoute} from './dynamo_routes.js';
 import {
-  buildJsonAnswer,
+  buildJsonResponse,
   readRequest,
-  sendAnswer,
-  type PreparedAnswer,
+  sendResponse,
+  type PreparedResponse,
   type ReceivedRequest,
-} from './http_answers.js';
+} from './http_messages.js';
 import {createMemoryPlatform, type MemoryPlatform} from './memory_platform.js';
-import {buildListAnswer} from './list_answer.js';
+import {buildListResponse} from './instance_list_route.js';
 import {createS3Route} from './s3_routes.js';
 import {verifySignature, type KnownCredentials} from './verify_signature.js';
 
 /** Path of the instance list. */
 const INSTANCES_PATH = '/instances';
 
-/** Prefix of the paths that drive the stand-in. */
+/** Prefix of the paths that control the stand-in. */
 const CONTROL_PREFIX = '/control/';
 
 /** A running platform stand-in. */
 export interface PlatformServer {
-  /** Host and port. */
+  /** Host and port of the server. */
   address: string;
-  /** Lines of the `[platform]` section that reach it. */
+  /** Entries of the `[platform]` section that connect to this server. */
   settings: Record<string, string>;
   platform: MemoryPlatform;
   close(): Promise<void>;
 }
 
-/** How to start it. */
+/** Options of the server. */
 export interface PlatformServerOptions {
-  /** 0 takes a free port. */
+  /** Port to listen on; 0 picks a free port. */
   port?: number;
   clock?: Clock;
   bucket?: string;
   credentials?: KnownCredentials;
-  /** Shown instead of an empty platform. */
+  /** Platform to serve instead of an empty one. */
   platform?: MemoryPlatform;
 }
 
@@ -53,7 +53,7 @@
   secretAccessKey: 'stand-in-secret',
 };
 
-/** Listens on loopback. */
+/** Starts the server on loopback. */
 export async function createPlatformServer(
   options: PlatformServerOptions = {},
 ): Promise<PlatformServer> {
@@ -69,9 +69,9 @@
 
   async function dispatchSigned(
     request: ReceivedRequest,
-  ): Promise<PreparedAnswer> {
+  ): Promise<PreparedResponse> {
     if (!(await verifySignature(request, credentials))) {
-      return buildJsonAnswer(403, {
+      return buildJsonResponse(403, {
         __type: 'x#InvalidSignatureException',
         message: 'the signature does not match',
       });
@@ -82,13 +82,13 @@
 
   async function dispatchRequest(
     request: ReceivedRequest,
-  ): Promise<PreparedAnswer> {
+  ): Promise<PreparedResponse> {
     const {pathname} = request.url;
     if (pathname.startsWith(CONTROL_PREFIX)) {
       return handleControl(platform, request);
     }
     if (pathname === INSTANCES_PATH) {
-      return buildListAnswer(request, await platform.instances.fetch());
+      return buildListResponse(request, await platform.instances.fetch());
     }
     return dispatchSigned(request);
   }
@@ -96,9 +96,9 @@
   const server = createServer(async (incoming, response) => {
     try {
       const request = await readRequest(incoming);
-      sendAnswer(request, response, await dispatchRequest(request));
+      sendResponse(request, response, await dispatchRequest(request));
     } catch (error) {
-      failAnswer(response, error);
+      sendFailure(response, error);
     }
   });
   const address = await listenServer(server, 'platform', '127.0.0.1', port);
@@ -120,7 +120,7 @@
   };
 }
 
-function failAnswer(response: ServerResponse, error: unknown) {
+function sendFailure(response: ServerResponse, error: unknown) {
   if (error instanceof StoreError) response.destroy();
   else {
     response.writeHead(500, {'content-type': 'text/plain'});
--- a/src/stand_ins/platform/s3_routes.ts
+++ b/src/stand_ins/platform/s3_routes.ts
@@ -1,9 +1,9 @@
-/** The object store's protocol (S3) over the objects in memory. */
+/** Serves the in-memory object store over its protocol, S3. */
 import {XMLBuilder, XMLParser} from 'fast-xml-parser';
 import * as z from 'zod';
 import {generateId, hashText} from '../../common/ids.js';
 import type {ObjectStore} from '../../stores/object_store.js';
-import type {PreparedAnswer, ReceivedRequest} from './http_answers.js';
+import type {PreparedResponse, ReceivedRequest} from './http_messages.js';
 import {ThrottledError} from './platform_faults.js';
 
 const builder = new XMLBuilder({});
@@ -12,7 +12,7 @@
   isArray: name => name === 'Part',
 });
 
-/** Every part but the last has at least so many bytes. */
+/** Minimum size of every part except the last. */
 const MIN_PART_BYTES = 5 * 1024 * 1024;
 
 const completionSchema = z.object({
@@ -32,37 +32,39 @@
   query: URLSearchParams;
 }
 
-/** Answers requests of the object store's protocol. */
-export type S3Route = (request: ReceivedRequest) => Promise<PreparedAnswer>;
+/** Handles requests of the object store's protocol. */
+export type S3Route = (request: ReceivedRequest) => Promise<PreparedResponse>;
 
-/** Serves one bucket. */
+/** Creates the route of one bucket. */
 export function createS3Route(objects: ObjectStore, bucket: string): S3Route {
   const uploads = new Map<string, OpenUpload>();
 
-  async function listObjects(query: URLSearchParams): Promise<PreparedAnswer> {
+  async function listObjects(
+    query: URLSearchParams,
+  ): Promise<PreparedResponse> {
     const names = await objects.list(
       query.get('prefix') ?? '',
       query.get('start-after') ?? '',
     );
     const Contents = names.map(name => ({Key: encodeURIComponent(name)}));
-    return buildXml(200, {ListBucketResult: {Contents}});
+    return buildXmlResponse(200, {ListBucketResult: {Contents}});
   }
 
   async function getObject({
     request,
     name,
-  }: ObjectRequest): Promise<PreparedAnswer> {
+  }: ObjectRequest): Promise<PreparedResponse> {
     const body = await objects.get(name);
-    if (!body) return buildError(404, 'NoSuchKey');
+    if (!body) return buildErrorResponse(404, 'NoSuchKey');
     const etag = buildEtag(body);
-    const wanted = request.headers['if-match'];
-    if (wanted !== undefined && wanted !== etag) {
-      return buildError(412, 'PreconditionFailed');
+    const expectedEtag = request.headers['if-match'];
+    if (expectedEtag !== undefined && expectedEtag !== etag) {
+      return buildErrorResponse(412, 'PreconditionFailed');
     }
     const range = /^bytes=(\d+)-(\d+)$/.exec(request.headers.range ?? '');
     if (!range) return {status: 200, headers: {etag}, body};
     const [start, last] = [Number(range[1]), Number(range[2])];
-    if (start >= body.length) return buildError(416, 'InvalidRange');
+    if (start >= body.length) return buildErrorResponse(416, 'InvalidRange');
     return {status: 206, headers: {etag}, body: body.subarray(start, last + 1)};
   }
 
@@ -70,7 +72,7 @@
     request,
     name,
     query,
-  }: ObjectRequest): Promise<PreparedAnswer> {
+  }: ObjectRequest): Promise<PreparedResponse> {
     const uploadId = query.get('uploadId');
     if (uploadId !== null) return putPart(request, query, uploadId);
     await objects.put(name, request.body);
@@ -81,28 +83,28 @@
     request: ReceivedRequest,
     query: URLSearchParams,
     uploadId: string,
-  ): Promise<PreparedAnswer> {
+  ): Promise<PreparedResponse> {
     const upload = uploads.get(uploadId);
-    if (!upload) return buildError(404, 'NoSuchUpload');
-    // An append elsewhere passes the write through the same faults.
+    if (!upload) return buildErrorResponse(404, 'NoSuchUpload');
+    // Opening and cancelling an upload subjects the part to the faults of a write.
     await (await objects.openUpload(upload.name)).cancel();
     upload.parts.set(Number(query.get('partNumber')), request.body);
     return {status: 200, headers: {etag: buildEtag(request.body)}};
   }
 
-  async function openUpload(name: string): Promise<PreparedAnswer> {
+  async function openUpload(name: string): Promise<PreparedResponse> {
     await (await objects.openUpload(name)).cancel();
     const UploadId = generateId('upload');
     uploads.set(UploadId, {name, parts: new Map()});
-    return buildXml(200, {InitiateMultipartUploadResult: {UploadId}});
+    return buildXmlResponse(200, {InitiateMultipartUploadResult: {UploadId}});
   }
 
   async function finishUpload(
     uploadId: string,
     body: Buffer,
-  ): Promise<PreparedAnswer> {
+  ): Promise<PreparedResponse> {
     const upload = uploads.get(uploadId);
-    if (!upload) return buildError(404, 'NoSuchUpload');
+    if (!upload) return buildErrorResponse(404, 'NoSuchUpload');
     const {Part} = completionSchema.parse(
       parser.parse(body.toString('utf8')),
     ).CompleteMultipartUpload;
@@ -110,34 +112,34 @@
     for (const {PartNumber, ETag} of Part) {
       const part = upload.parts.get(PartNumber);
       if (!part || buildEtag(part) !== ETag) {
-        return buildError(400, 'InvalidPart');
+        return buildErrorResponse(400, 'InvalidPart');
       }
       parts.push(part);
     }
     if (parts.slice(0, -1).some(part => part.length < MIN_PART_BYTES)) {
-      return buildError(400, 'EntityTooSmall');
+      return buildErrorResponse(400, 'EntityTooSmall');
     }
-    const whole = Buffer.concat(parts);
+    const completeBody = Buffer.concat(parts);
     try {
-      await objects.put(upload.name, whole);
+      await objects.put(upload.name, completeBody);
     } finally {
-      if (await hasObject(upload.name, whole)) uploads.delete(uploadId);
+      if (await hasObject(upload.name, completeBody)) uploads.delete(uploadId);
     }
-    const ETag = buildEtag(whole);
-    return buildXml(200, {CompleteMultipartUploadResult: {ETag}});
+    const ETag = buildEtag(completeBody);
+    return buildXmlResponse(200, {CompleteMultipartUploadResult: {ETag}});
   }
 
-  /** Whether a put whose answer is to be lost took effect. */
+  /** Returns whether a put took effect, even if its response was lost. */
   async function hasObject(name: string, body: Buffer): Promise<boolean> {
-    const held = await objects.get(name).catch(() => undefined);
-    return held?.equals(body) ?? false;
+    const storedBody = await objects.get(name).catch(() => undefined);
+    return storedBody?.equals(body) ?? false;
   }
 
   async function handlePost({
     request,
     name,
     query,
-  }: ObjectRequest): Promise<PreparedAnswer> {
+  }: ObjectRequest): Promise<PreparedResponse> {
     if (query.has('uploads')) return openUpload(name);
     return finishUpload(query.get('uploadId') ?? '', request.body);
   }
@@ -145,16 +147,17 @@
   async function deleteObject({
     name,
     query,
-  }: ObjectRequest): Promise<PreparedAnswer> {
+  }: ObjectRequest): Promise<PreparedResponse> {
     const uploadId = query.get('uploadId');
     if (uploadId === null) await objects.delete(name);
-    else if (!uploads.delete(uploadId)) return buildError(404, 'NoSuchUpload');
+    else if (!uploads.delete(uploadId))
+      return buildErrorResponse(404, 'NoSuchUpload');
     return {status: 204};
   }
 
   const methods: Record<
     string,
-    (request: ObjectRequest) => Promise<PreparedAnswer>
+    (request: ObjectRequest) => Promise<PreparedResponse>
   > = {
     GET: getObject,
     HEAD: getObject,
@@ -164,17 +167,19 @@
   };
 
   return async request => {
-    const [wanted, ...path] = request.url.pathname.slice(1).split('/');
-    if (wanted !== bucket) return buildError(404, 'NoSuchBucket');
+    const [requestedBucket, ...path] = request.url.pathname.slice(1).split('/');
+    if (requestedBucket !== bucket)
+      return buildErrorResponse(404, 'NoSuchBucket');
     const name = path.map(decodeURIComponent).join('/');
     const query = request.url.searchParams;
     try {
       if (name === '') return await listObjects(query);
       const handle = methods[request.method];
-      if (!handle) return buildError(405, 'MethodNotAllowed');
+      if (!handle) return buildErrorResponse(405, 'MethodNotAllowed');
       return await handle({request, name, query});
     } catch (error) {
-      if (error instanceof ThrottledError) return buildError(503, 'SlowDown');
+      if (error instanceof ThrottledError)
+        return buildErrorResponse(503, 'SlowDown');
       throw error;
     }
   };
@@ -184,7 +189,7 @@
   return `"${hashText(body).slice(0, 32)}"`;
 }
 
-function buildXml(status: number, value: object): PreparedAnswer {
+function buildXmlResponse(status: number, value: object): PreparedResponse {
   return {
     status,
     headers: {'content-type': 'application/xml'},
@@ -192,6 +197,6 @@
   };
 }
 
-function buildError(status: number, code: string): PreparedAnswer {
-  return buildXml(status, {Error: {Code: code, Message: code}});
+function buildErrorResponse(status: number, code: string): PreparedResponse {
+  return buildXmlResponse(status, {Error: {Code: code, Message: code}});
 }
--- a/src/stand_ins/platform/verify_signature.ts
+++ b/src/stand_ins/platform/verify_signature.ts
@@ -1,10 +1,10 @@
-/** Verifies the signature of a request to the stand-in, as the platform does. */
+/** Verifies the signature of a request to the platform stand-in. */
 import {timingSafeEqual} from 'node:crypto';
 import {AwsV4Signer} from 'aws4fetch';
 import {hashText} from '../../common/ids.js';
-import type {ReceivedRequest} from './http_answers.js';
+import type {ReceivedRequest} from './http_messages.js';
 
-/** What the stand-in knows of its one client. */
+/** Credentials of the only client that the stand-in accepts. */
 export interface KnownCredentials {
   accessKeyId: string;
   secretAccessKey: string;
@@ -13,7 +13,7 @@
 const AUTHORIZATION =
   /^AWS4-HMAC-SHA256 Credential=([^/]+)\/\d+\/([^/]+)\/([^/]+)\/aws4_request, SignedHeaders=([^,]+), Signature=[0-9a-f]+$/;
 
-/** Whether the request was signed with the known secret, body included. */
+/** Returns whether the request and its body were signed with the known secret. */
 export async function verifySignature(
   request: ReceivedRequest,
   known: KnownCredentials,
--- a/src/stand_ins/service/service_server.ts
+++ b/src/stand_ins/service/service_server.ts
@@ -1,7 +1,7 @@
 /**
- * A plain service stand-in: counts what it ran, and can lose answers, refuse
- * before admission, stay silent or be slow. Its answer tells the call and how
- * often it ran.
+ * A plain service stand-in. It counts the calls that it ran, and can lose
+ * responses, refuse before admission, stay silent or be slow. Its response names
+ * the call and how often it ran.
  */
 import {
   createServer,
@@ -12,38 +12,38 @@
 import {ENGINE_NOT_ADMITTED} from '../engine/engine_protocol.js';
 
 /**
- * What goes wrong with a call:
- * - `refuse`: refused before admission, as documented
- * - `lose-answer`: runs, then the connection is reset
- * - `silent`: runs, then nothing is sent on the open connection
- * - `fail`: runs, then status 500
+ * A fault of one call:
+ * - `refuse`: the call is refused before admission, as documented
+ * - `lose-answer`: the call runs, then the connection is reset
+ * - `silent`: the call runs, but nothing is sent on the open connection
+ * - `fail`: the call runs, then the response has status 500
  */
 export type ServiceFault = 'refuse' | 'lose-answer' | 'silent' | 'fail';
 
 /** A running stand-in. */
 export interface ServiceServer {
   address: string;
-  /** Faults to come; each call takes one. */
+  /** Faults of the next calls; each call takes one. */
   faults: ServiceFault[];
   /** Calls that ran, such as `POST /visits {"drum":17}`. */
   calls: string[];
-  /** What it received: header blocks and bodies, to look for leaks. */
+  /** Headers and bodies of all requests, so that tests can search for leaks. */
   received: string[];
-  /** Called after a call ran and before it is answered. */
+  /** Called after a call ran and before its response is sent. */
   onCall: (call: string) => void | Promise<void>;
   stop(): Promise<void>;
 }
 
 type FaultHandler = (response: ServerResponse) => void;
 
-/** What follows after the call ran. */
+/** Injects a fault after the call ran. */
 const FAULT_HANDLERS: Record<Exclude<ServiceFault, 'refuse'>, FaultHandler> = {
   'lose-answer': response => void response.destroy(),
   silent() {},
   fail: response => void response.writeHead(500).end('{"error":"failed"}'),
 };
 
-/** Starts on loopback; port 0 takes a free one. */
+/** Starts the service on loopback; port 0 picks a free port. */
 export async function startServiceServer(port = 0): Promise<ServiceServer> {
   const server = createServer((request, response) => {
     void serveCall(request, response, state).catch(() => response.destroy());
