--- a/src/plays/engine_model.ts
+++ b/src/plays/engine_model.ts
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Returns whether the prefill has started or can start now. Order is first come,
-   * first served, so a sequence that does not fit blocks those behind it.
+   * Starts the prefill if there is room; returns whether it has started. Order is
+   * first come, first served: a sequence that does not fit blocks those behind.
    */
   function startPrefill(sequence: Sequence): boolean {
     if (sequence.started) return true;
--- a/src/plays/play_runner.ts
+++ b/src/plays/play_runner.ts
@@ -31,7 +31,7 @@
 const TAKEOVER_DELAY_MS = 1500;
 const MAX_ATTEMPTS = 3;
 
-/** Replaceable parts of a simulation; the `measure` tool replaces some by baselines. */
+/** Parts of a simulation that the `measure` tool replaces by baselines. */
 export interface PlayParts {
   createScheduler: (limits: PoolLimits) => PoolScheduler;
   createGate: RateGateFactory;
@@ -252,7 +252,7 @@
     });
   }
 
-  /** Returns the delay until the next release batch has arrived, one hop later. */
+  /** Returns the delay until the next batch of releases arrives. */
   function computeReleaseDelay(): number {
     const now = clock.now() + NETWORK_HOP_MS;
     const turn = Math.ceil(now / RELEASE_INTERVAL_MS) * RELEASE_INTERVAL_MS;
--- a/src/plays/result_recorder.ts
+++ b/src/plays/result_recorder.ts
@@ -41,7 +41,10 @@
   noteYield(tokens: number): void;
   /** Adds the engines' usage so far, or subtracts it with `sign` -1. */
   noteUsage(engines: readonly EngineModel[], sign: 1 | -1): void;
-  /** Removes requests from the counts that are open and in time at the end. */
+  /**
+   * Records the requests that are still open at the end. Those past their
+   * deadline are late; the others do not count.
+   */
   noteOpen(requests: readonly SimulatedRequest[], now: number): void;
 }
 
--- a/src/stand_ins/platform/dynamo_routes.ts
+++ b/src/stand_ins/platform/dynamo_routes.ts
@@ -1,4 +1,4 @@
-/** Serves the in-memory table over the protocol of the table service, DynamoDB JSON. */
+/** Serves the in-memory table over the DynamoDB JSON protocol. */
 import * as z from 'zod';
 import {decodeKey, encodeItem, encodeKey} from '../../stores/dynamo_codec.js';
 import {
@@ -74,7 +74,7 @@
       return buildErrorResponse('IdempotentParameterMismatchException');
     }
     if (stored) {
-      // The real service still reads the table, so a repeat is subject to faults too.
+      // The real service still reads, so a repeat is subject to the faults too.
       await table.get({partition: '', sort: ''});
       return buildJsonResponse(200, {});
     }
--- a/src/testing/fake_peer_network.ts
+++ b/src/testing/fake_peer_network.ts
@@ -16,7 +16,7 @@
   delayMs: number;
 }
 
-/** Chooses the outcome of a message; called again for each duplicate's delay. */
+/** Chooses the outcome of a message, and again the delay of each duplicate. */
 export type DeliveryPolicy = (from: string, to: string) => DeliveryOutcome;
 
 /** The network between the instances of one test. */
