--- a/src/instance/batch/batch.test.ts
+++ b/src/instance/batch/batch.test.ts
@@ -9,7 +9,7 @@
   makeUpload,
   sendJob,
 } from '../../testing/batch_fleet.js';
-import {assertWholeOnce, readOutput} from '../../testing/batch_oracle.js';
+import {assertCompleteOnce, readOutput} from '../../testing/batch_oracle.js';
 import {cancelJob} from './job_routes.js';
 import {buildItemsName} from './records.js';
 
@@ -21,7 +21,7 @@
     const ids = makeIds(100);
     const jobId = await sendJob(first, ids);
     await fleet.advance(60_000);
-    await assertWholeOnce(fleet, jobId, ids);
+    await assertCompleteOnce(fleet, jobId, ids);
     for (const id of ids) assert.equal(fleet.countRuns(id), 1);
     const workers = [...fleet.runs.values()].map(([run]) => run.instance);
     assert.deepEqual([...new Set(workers)].sort(), ['entry-1', 'entry-2']);
@@ -102,7 +102,7 @@
       });
       await fleet.advance(30_000);
       await batch.files.delete('gate', file.id);
-      await assertWholeOnce(fleet, id, makeIds(5));
+      await assertCompleteOnce(fleet, id, makeIds(5));
     });
   });
 
@@ -179,7 +179,7 @@
     assert.ok(begun < 100, `${begun} begun`);
     await fleet.startInstance('entry-2');
     await fleet.advance(30_000);
-    await assertWholeOnce(fleet, jobId, ids);
+    await assertCompleteOnce(fleet, jobId, ids);
     for (const id of ids) assert.equal(fleet.countRuns(id), 1);
   });
 });
--- a/src/instance/batch/batch_failures.test.ts
+++ b/src/instance/batch/batch_failures.test.ts
@@ -11,7 +11,7 @@
   sendJob,
   type BatchFleet,
 } from '../../testing/batch_fleet.js';
-import {assertWholeOnce, readOutput} from '../../testing/batch_oracle.js';
+import {assertCompleteOnce, readOutput} from '../../testing/batch_oracle.js';
 import {LEASE_DURATION_MS} from '../members/instance_lease.js';
 import {cancelJob} from './job_routes.js';
 import {GROUP_ITEMS_BY_LOSSES} from './constants.js';
@@ -55,7 +55,7 @@
       first.process.kill();
       await fleet.startInstance('entry-2');
       await fleet.advance(PAST_LEASE_MS + 60_000);
-      await assertWholeOnce(fleet, jobId, ids);
+      await assertCompleteOnce(fleet, jobId, ids);
       assertRunsAtMost(fleet, 2);
     },
   );
@@ -77,7 +77,7 @@
       first.process.kill();
       if (!isRunning) await fleet.startInstance('entry-2');
       await fleet.advance(PAST_LEASE_MS + 60_000);
-      await assertWholeOnce(fleet, jobId, ids);
+      await assertCompleteOnce(fleet, jobId, ids);
       assertRunsAtMost(fleet, 2);
     },
   );
@@ -107,7 +107,7 @@
         await fleet.advance(60_000);
         assert.equal(await readOutput(second, jobId), before);
       }
-      await assertWholeOnce(fleet, jobId, ids);
+      await assertCompleteOnce(fleet, jobId, ids);
     },
   );
 
@@ -141,7 +141,7 @@
       for (const {process} of fleet.instances) process.resume();
       await fleet.advance(30_000);
       assert.equal(await readOutput(last, jobId), before);
-      await assertWholeOnce(fleet, jobId, ids);
+      await assertCompleteOnce(fleet, jobId, ids);
     },
   );
 
@@ -168,7 +168,7 @@
         await assert.rejects(first.batch.jobs.create(request, 0));
         const job = await other.batch.jobs.create(request, 0);
         await fleet.advance(30_000);
-        await assertWholeOnce(fleet, job.id, ids);
+        await assertCompleteOnce(fleet, job.id, ids);
         assert.equal((await first.batch.jobs.list('gate')).length, 1);
         assertRunsAtMost(fleet, 1);
       },
@@ -192,7 +192,7 @@
         if (order === 'result object') answersToLoseOf.objects = 2;
         if (order === 'job end') answersToLoseOf['work#drum-reader'] = 1;
         await fleet.advance(60_000);
-        await assertWholeOnce(fleet, jobId, ids);
+        await assertCompleteOnce(fleet, jobId, ids);
         assertRunsAtMost(fleet, 1);
         const left = Object.values(answersToLoseOf);
         assert.ok(
@@ -230,7 +230,7 @@
           return transact(operations);
         };
         await fleet.advance(60_000);
-        const lines = await assertWholeOnce(fleet, jobId, ids);
+        const lines = await assertCompleteOnce(fleet, jobId, ids);
         assert.ok(lines.every(({error}) => error === null));
         assert.equal(answersToLoseOf[segments], 0);
         assertRunsAtMost(fleet, 1);
@@ -299,7 +299,7 @@
       );
       await fleet.advance(30_000);
       if (record.state === 'completed') {
-        await assertWholeOnce(fleet, jobId, ids);
+        await assertCompleteOnce(fleet, jobId, ids);
         return;
       }
       const {record: later} = await first.batch.jobs.find('gate', jobId);
@@ -331,7 +331,7 @@
       const [file] = await first.batch.files.list('gate');
       assert.equal(file.record.openJobs, 1);
       await fleet.advance(30_000);
-      await assertWholeOnce(fleet, jobId, ids);
+      await assertCompleteOnce(fleet, jobId, ids);
       assertRunsAtMost(fleet, 1);
     },
   );
@@ -359,7 +359,7 @@
       faults.down = false;
       faults.downServices = [];
       await fleet.advance(60_000);
-      await assertWholeOnce(fleet, jobId, ids);
+      await assertCompleteOnce(fleet, jobId, ids);
       assertRunsAtMost(fleet, 1);
     },
   );
@@ -388,7 +388,7 @@
       faults.down = false;
       faults.downServices = [];
       await fleet.advance(200_000);
-      await assertWholeOnce(fleet, jobId, ids);
+      await assertCompleteOnce(fleet, jobId, ids);
       assertRunsAtMost(fleet, 1);
     },
   );
@@ -415,7 +415,7 @@
         await fleet.startInstance(`entry-${replacement}`);
       }
       await fleet.advance(PAST_LEASE_MS + 30_000);
-      const lines = await assertWholeOnce(fleet, jobId, ids);
+      const lines = await assertCompleteOnce(fleet, jobId, ids);
       const failed = lines.filter(({error}) => error !== null);
       assert.deepEqual(
         failed.map(({custom_id, error}) => [custom_id, error?.verdict]),
@@ -442,7 +442,7 @@
       };
       const jobId = await sendJob(first, ids);
       await fleet.advance(60_000);
-      const lines = await assertWholeOnce(fleet, jobId, ids);
+      const lines = await assertCompleteOnce(fleet, jobId, ids);
       assert.notEqual(lines[5].error, null);
       assert.equal(fleet.countRuns('i5'), 3);
     },
@@ -465,7 +465,7 @@
       first.process.kill();
       await fleet.startInstance('entry-2');
       await fleet.advance(PAST_LEASE_MS + 60_000);
-      const lines = await assertWholeOnce(fleet, jobId, ids);
+      const lines = await assertCompleteOnce(fleet, jobId, ids);
       assertRunsAtMost(fleet, 1);
       const failed = lines.filter(({error}) => error !== null);
       assert.ok(failed.length > 0 && failed.length <= 64);
@@ -495,7 +495,7 @@
       };
       const jobId = await sendJob(first, ids);
       await fleet.advance(60_000);
-      const lines = await assertWholeOnce(fleet, jobId, ids);
+      const lines = await assertCompleteOnce(fleet, jobId, ids);
       assert.ok(lines.every(({error}) => error === null));
     },
   );
@@ -527,7 +527,7 @@
         await fleet.advance(2 * LEASE_DURATION_MS);
         fleet.platform.faults.down = false;
         await fleet.advance(PAST_LEASE_MS + 60_000);
-        await assertWholeOnce(fleet, jobId, ids);
+        await assertCompleteOnce(fleet, jobId, ids);
         assertRunsAtMost(fleet, 2);
       },
     );
@@ -556,7 +556,7 @@
         first.process.resume();
         await fleet.advance(30_000);
         assert.equal(await readOutput(second, jobId), before);
-        await assertWholeOnce(fleet, jobId, ids);
+        await assertCompleteOnce(fleet, jobId, ids);
       },
     );
 
--- a/src/instance/batch/exactly_once.test.ts
+++ b/src/instance/batch/exactly_once.test.ts
@@ -17,7 +17,7 @@
   sendJob,
   type BatchFleet,
 } from '../../testing/batch_fleet.js';
-import {assertWholeOnce, readOutput} from '../../testing/batch_oracle.js';
+import {assertCompleteOnce, readOutput} from '../../testing/batch_oracle.js';
 import {LEASE_DURATION_MS} from '../members/instance_lease.js';
 import {cancelJob} from './job_routes.js';
 
@@ -149,7 +149,7 @@
     for (const {process} of fleet.instances) process.resume();
     await fleet.advance(5000);
     assert.equal(await readOutput(last, jobId), before);
-    await assertWholeOnce(fleet, jobId, IDS);
+    await assertCompleteOnce(fleet, jobId, IDS);
   }
   return fleet;
 }
--- a/src/testing/batch_oracle.ts
+++ b/src/testing/batch_oracle.ts
@@ -39,7 +39,7 @@
  * error. Every running instance and every read return the same output, and the
  * counts of the job record match its lines.
  */
-export async function assertWholeOnce(
+export async function assertCompleteOnce(
   fleet: BatchFleet,
   jobId: string,
   ids: readonly string[],
