--- a/src/instance/batch/batch_failures.test.ts
+++ b/src/instance/batch/batch_failures.test.ts
@@ -404,7 +404,7 @@
       const ids = makeIds(100);
       const poison = order === 'first of its segment' ? 'i0' : 'i99';
       let crashes = 0;
-      fleet.hooks.onBegin = (customId, {process}) => {
+      fleet.hooks.onItemStart = (customId, {process}) => {
         if (customId !== poison) return;
         process.kill();
         crashes++;
@@ -434,7 +434,7 @@
       const fleet = await createBatchFleet();
       const first = await fleet.startInstance('entry-1');
       const ids = makeIds(10);
-      fleet.hooks.onBegin = customId => {
+      fleet.hooks.onItemStart = customId => {
         if (customId !== 'i5') return;
         if (order === 'with an unexpected error')
           throw new TypeError('unexpected');
@@ -487,7 +487,7 @@
       const fleet = await createBatchFleet();
       const first = await fleet.startInstance('entry-1');
       const ids = makeIds(10);
-      fleet.hooks.onBegin = customId => {
+      fleet.hooks.onItemStart = customId => {
         if (fleet.countRuns(customId) > 6) return;
         throw new RouterError('overloaded', 'no room', {
           verdict: order === 'not run' ? 'not-run' : 'may-have-run',
--- a/src/testing/batch_fleet.ts
+++ b/src/testing/batch_fleet.ts
@@ -76,7 +76,7 @@
   const runs = new Map<string, ItemRun[]>();
   const instances: FleetInstance[] = [];
   const hooks = {
-    onBegin: undefined as ItemHook | undefined,
+    onItemStart: undefined as ItemHook | undefined,
     /** Called before an instance writes an object; may pause the instance. */
     onObjectWrite: undefined as ((instance: FleetInstance) => void) | undefined,
   };
@@ -150,7 +150,7 @@
       const finished = scheduleRelease(request);
       await process.awaitRunning();
       const run = recordRun(content, name);
-      hooks.onBegin?.(content, getInstance());
+      hooks.onItemStart?.(content, getInstance());
       await process.awaitRunning();
       onStarted?.();
       await finished;
