--- a/src/instance/callers/callers.test.ts
+++ b/src/instance/callers/callers.test.ts
@@ -7,7 +7,7 @@
 import {after, before, describe, it} from 'node:test';
 import fc from 'fast-check';
 import {
-  makeQuestion,
+  makeChatRequest,
   startCallFleet,
   type CallFleet,
 } from '../../testing/call_fleet.js';
@@ -42,7 +42,7 @@
   }
 
   async function assertServes() {
-    const body = makeQuestion('still there', false);
+    const body = makeChatRequest('still there', false);
     assert.equal((await fleet.send(CHAT, {body})).status, 200);
   }
 
@@ -106,7 +106,7 @@
         'a deadline without a unit',
         post(
           CHAT,
-          JSON.stringify(makeQuestion('q', false)),
+          JSON.stringify(makeChatRequest('q', false)),
           'x-mulberry-deadline: 5\r\n',
         ),
         400,
@@ -281,7 +281,7 @@
     const [engine] = fleet.engines;
     engine.options.firstTokenMs = 60_000;
     const {status, headers, text} = await fleet.send(CHAT, {
-      body: makeQuestion('late', true),
+      body: makeChatRequest('late', true),
       headers: {'x-mulberry-deadline': '50ms'},
     });
     engine.options.firstTokenMs = 2;
@@ -297,7 +297,7 @@
     const [engine] = fleet.engines;
     Object.assign(engine.options, {tokens: 1_000_000, resumeWindowMs: 1e9});
     const leaving = new AbortController();
-    const body = makeQuestion('leave', true);
+    const body = makeChatRequest('leave', true);
     const stream = await fleet.open(CHAT, {body, signal: leaving.signal});
     leaving.abort();
     await assert.rejects(async () => {
@@ -311,7 +311,7 @@
 
   it('forwards the response of an engine that refuses a message', async () => {
     const answer = await fleet.send(CHAT, {
-      body: {...makeQuestion('q', true), messages: [{refuse: true}]},
+      body: {...makeChatRequest('q', true), messages: [{refuse: true}]},
     });
     assert.equal(answer.status, 200);
   });
--- a/src/instance/calls.test.ts
+++ b/src/instance/calls.test.ts
@@ -5,7 +5,7 @@
 import type {EngineServer} from '../stand_ins/engine/engine_server.js';
 import {
   formatAnswer,
-  makeQuestion,
+  makeChatRequest,
   readStream,
   startCallFleet,
   type CallAnswer,
@@ -77,7 +77,7 @@
       for (const engine of fleet.engines) {
         Object.assign(engine.options, {tokens: 20, holdAt: 10});
       }
-      const question = makeQuestion('is drum 17 accepted', true);
+      const question = makeChatRequest('is drum 17 accepted', true);
       const {status, body} = await fleet.open(CHAT, {body: question});
       const text = await readChunks(body, async chunk => {
         if (!chunk.includes(' t9"')) return;
@@ -147,7 +147,7 @@
   it('refuses an account over its rate and says when to retry', async () => {
     const fleet = await startCallFleet();
     const key = fleet.keys.planner.secret;
-    const body = makeQuestion('is drum 17 accepted', false);
+    const body = makeChatRequest('is drum 17 accepted', false);
     const answers: CallAnswer[] = [];
     for (let call = 0; call < 3; call++) {
       answers.push(await fleet.send(CHAT, {key, body}));
@@ -165,7 +165,7 @@
     const fleet = await startCallFleet();
     fleet.engines[0].options.tokens = 1_000_000;
     fleet.engines[0].options.betweenTokensMs = 10;
-    const body = makeQuestion('is drum 17 accepted', true);
+    const body = makeChatRequest('is drum 17 accepted', true);
     const stream = await fleet.open(CHAT, {body});
     let withdrawn = false;
     const text = await readChunks(stream.body, async () => {
@@ -185,7 +185,7 @@
   it('gives no new work to a leaving endpoint and lets its stream end', async () => {
     const fleet = await startCallFleet({engines: 2});
     const [first, second] = fleet.engines;
-    const body = makeQuestion('is drum 17 accepted', true);
+    const body = makeChatRequest('is drum 17 accepted', true);
     for (const engine of fleet.engines) engine.options.holdAt = 1;
     const open = await fleet.open(CHAT, {body});
     const [leaving, staying] =
@@ -222,7 +222,7 @@
       const fleet = await startCallFleet();
       const [engine] = fleet.engines;
       engine.options.holdAt = 3;
-      const body = makeQuestion('is drum 17 accepted', true);
+      const body = makeChatRequest('is drum 17 accepted', true);
       const calls = Array.from({length: 24}, () => fleet.send(CHAT, {body}));
       await awaitUntil(async () => (await countOpen(fleet)) === 24);
       const stopped = fleet.instances[0].stop();
@@ -245,7 +245,7 @@
       // hang.
       const fleet = await startCallFleet({drainMs: 20});
       fleet.engines[0].options.tokens = 1_000_000;
-      const body = makeQuestion('is drum 17 accepted', true);
+      const body = makeChatRequest('is drum 17 accepted', true);
       const stream = await fleet.open(CHAT, {body});
       const stopped = fleet.instances[0].stop();
       const {last} = readStream(await readChunks(stream.body));
@@ -258,7 +258,7 @@
       const fleet = await startCallFleet();
       const [engine] = fleet.engines;
       engine.options.holdAt = 3;
-      const body = makeQuestion('is drum 17 accepted', false);
+      const body = makeChatRequest('is drum 17 accepted', false);
       const call = fleet.send(CHAT, {body});
       await awaitUntil(async () => (await countOpen(fleet)) === 1);
       const stopped = fleet.instances[0].stop();
@@ -288,7 +288,7 @@
       cookie: secret,
       'idempotency-key': 'k',
     };
-    const question = makeQuestion('is drum 17 accepted', true);
+    const question = makeChatRequest('is drum 17 accepted', true);
     await fleet.send(CHAT, {body: question, headers});
     await fleet.send(CHAT, {body: '{"model":', headers});
     await fleet.send('/services/visits/book', {body: {drum: 17}, headers});
--- a/src/instance/crashing_calls.test.ts
+++ b/src/instance/crashing_calls.test.ts
@@ -3,7 +3,7 @@
 import {describe, it} from 'node:test';
 import {request} from 'undici';
 import {
-  makeQuestion,
+  makeChatRequest,
   startCallFleet,
   type CallFleet,
 } from '../testing/call_fleet.js';
@@ -28,7 +28,7 @@
 }
 
 function ask(fleet: CallFleet, content: string, instance: number) {
-  const body = makeQuestion(content, false);
+  const body = makeChatRequest(content, false);
   return fleet.send(PATH, {method: 'POST', body, instance});
 }
 
--- a/src/testing/call_fleet.ts
+++ b/src/testing/call_fleet.ts
@@ -178,7 +178,7 @@
 }
 
 /** Creates the body of a chat request. */
-export function makeQuestion(content: string, stream: boolean): object {
+export function makeChatRequest(content: string, stream: boolean): object {
   const messages = [{role: 'user', content}];
   return {model: 'drum-reader-7b', stream, messages};
 }
