--- a/src/instance/calls.test.ts
+++ b/src/instance/calls.test.ts
@@ -8,7 +8,7 @@
   makeChatRequest,
   readStream,
   startCallFleet,
-  type CallAnswer,
+  type CallResponse,
   type CallFleet,
 } from '../testing/call_fleet.js';
 import {assertGolden, normalizeSession} from '../testing/golden.js';
@@ -16,7 +16,7 @@
 
 const CHAT = '/v1/chat/completions';
 
-function assertSession(name: string, answers: CallAnswer[]) {
+function assertSession(name: string, answers: CallResponse[]) {
   const session = answers.map(formatAnswer).join('\n');
   assertGolden(`instance/golden/${name}.txt`, normalizeSession(session));
 }
@@ -148,7 +148,7 @@
     const fleet = await startCallFleet();
     const key = fleet.keys.planner.secret;
     const body = makeChatRequest('is drum 17 accepted', false);
-    const answers: CallAnswer[] = [];
+    const answers: CallResponse[] = [];
     for (let call = 0; call < 3; call++) {
       answers.push(await fleet.send(CHAT, {key, body}));
     }
--- a/src/testing/call_fleet.ts
+++ b/src/testing/call_fleet.ts
@@ -51,7 +51,7 @@
 ];
 
 /** A response as the caller receives it. */
-export interface CallAnswer {
+export interface CallResponse {
   status: number;
   headers: Record<string, string>;
   text: string;
@@ -78,7 +78,7 @@
   keys: Record<'gate' | 'planner', {keyId: string; secret: string}>;
   /** Updates the platform's list; engines in `leaving` get the state `leaving`. */
   listEndpoints(leaving?: readonly EngineServer[]): void;
-  send(path: string, options?: CallOptions): Promise<CallAnswer>;
+  send(path: string, options?: CallOptions): Promise<CallResponse>;
   /** Returns the status at once, and the body as a stream of chunks. */
   open(
     path: string,
@@ -193,7 +193,7 @@
 }
 
 /** Formats a response for a golden file: status, selected headers, body. */
-export function formatAnswer({status, headers, text}: CallAnswer): string {
+export function formatAnswer({status, headers, text}: CallResponse): string {
   const shown = ['x-mulberry-verdict', 'retry-after', 'idempotent-replayed']
     .filter(name => headers[name] !== undefined)
     .map(name => `${name}: ${headers[name]}\n`)
