--- a/src/instance/calls.test.ts
+++ b/src/instance/calls.test.ts
@@ -4,7 +4,7 @@
 import bunyan from 'bunyan';
 import type {EngineServer} from '../stand_ins/engine/engine_server.js';
 import {
-  formatAnswer,
+  formatResponse,
   makeChatRequest,
   readStream,
   startCallFleet,
@@ -17,7 +17,7 @@
 const CHAT = '/v1/chat/completions';
 
 function assertSession(name: string, answers: CallResponse[]) {
-  const session = answers.map(formatAnswer).join('\n');
+  const session = answers.map(formatResponse).join('\n');
   assertGolden(`instance/golden/${name}.txt`, normalizeSession(session));
 }
 
--- a/src/testing/call_fleet.ts
+++ b/src/testing/call_fleet.ts
@@ -193,7 +193,7 @@
 }
 
 /** Formats a response for a golden file: status, selected headers, body. */
-export function formatAnswer({status, headers, text}: CallResponse): string {
+export function formatResponse({status, headers, text}: CallResponse): string {
   const shown = ['x-mulberry-verdict', 'retry-after', 'idempotent-replayed']
     .filter(name => headers[name] !== undefined)
     .map(name => `${name}: ${headers[name]}\n`)
