--- a/src/instance/members/members.test.ts
+++ b/src/instance/members/members.test.ts
@@ -147,7 +147,7 @@
 
   it('suspects no member when all heartbeats of one round are lost', async () => {
     const fleet = await makeFleet(10);
-    fleet.network.setFate(() => ({
+    fleet.network.setDeliveryPolicy(() => ({
       lost: fleet.clock.now() % 5000 < 900,
       copies: 0,
       delayMs: 0.5,
--- a/src/testing/fake_peer_network.ts
+++ b/src/testing/fake_peer_network.ts
@@ -39,7 +39,7 @@
   createClient(from: PeerSender, to: string): PeerClient;
   /** Blocks or restores messages between two addresses, in both directions. */
   setCut(a: string, b: string, cut: boolean): void;
-  setFate(policy: DeliveryPolicy): void;
+  setDeliveryPolicy(policy: DeliveryPolicy): void;
   /** Number of messages sent, and their total size as JSON. */
   counts: {messages: number; bytes: number};
 }
@@ -150,7 +150,7 @@
         else cuts.delete(id);
       }
     },
-    setFate(policy) {
+    setDeliveryPolicy(policy) {
       chooseOutcome = policy;
     },
     createClient: (from, to) =>
--- a/src/testing/limits_faults.ts
+++ b/src/testing/limits_faults.ts
@@ -129,12 +129,16 @@
     fleet.platform.faults.down = false;
   },
   calm: ({fleet}) =>
-    fleet.network.setFate(() => ({lost: false, copies: 0, delayMs: 0.5})),
+    fleet.network.setDeliveryPolicy(() => ({
+      lost: false,
+      copies: 0,
+      delayMs: 0.5,
+    })),
   'lose-answers': ({fleet}, {count}) => {
     fleet.platform.faults.answersToLose = count;
   },
   storm: ({fleet, random}, {loss, copies, delayMs}) =>
-    fleet.network.setFate(() => ({
+    fleet.network.setDeliveryPolicy(() => ({
       lost: random() < loss,
       copies,
       delayMs: random() * delayMs,
