--- a/src/instance/configuration/configuration.test.ts
+++ b/src/instance/configuration/configuration.test.ts
@@ -261,7 +261,9 @@
       await fleet.clock.advanceAsync(60_000);
       assert.equal(fleet.platform.counts.reads - reads, 60 * DOMAINS.length);
       assert.equal(fleet.platform.counts.writes, writes);
-      assert.ok(fleet.instances.every(({asked}) => asked === 0));
+      assert.ok(
+        fleet.instances.every(({answeredPeerCalls: asked}) => asked === 0),
+      );
     });
   });
 
--- a/src/instance/keys/keys.test.ts
+++ b/src/instance/keys/keys.test.ts
@@ -144,7 +144,8 @@
       fleet.instances[0].keys.describeUnready(fleet.clock.now()),
       undefined,
     );
-    const asked = Math.max(...fleet.instances.map(one => one.asked)) / 60;
+    const asked =
+      Math.max(...fleet.instances.map(one => one.answeredPeerCalls)) / 60;
     assert.ok(asked <= 2 * DOMAINS.length, `${asked} calls a second`);
   });
 
@@ -267,7 +268,7 @@
         fleet.platform.faults.down = true;
         await fleet.clock.advanceAsync(20_000);
         const key = fleet.key;
-        assert.equal(fleet.instances[0].asked > 0, true);
+        assert.equal(fleet.instances[0].answeredPeerCalls > 0, true);
         fleet.instances[0].cutFromStore = order === 'peers first';
         fleet.platform.faults.down = false;
         const given = await giveKey(fleet.table, 'gate');
--- a/src/testing/configuration_fleet.ts
+++ b/src/testing/configuration_fleet.ts
@@ -43,7 +43,7 @@
   /** Whether the other instances miss its heartbeats and suspect it. */
   isSuspected: boolean;
   /** Number of peer calls that the instance answered. */
-  asked: number;
+  answeredPeerCalls: number;
 }
 
 /** A fleet with the controls for a test. */
@@ -94,7 +94,7 @@
       await waitFor(clock, CALL_TIMEOUT_MS);
       throw new Error('peer call timed out');
     }
-    to.asked++;
+    to.answeredPeerCalls++;
     const ageMs = clock.now() - to.peerSync.getConfirmedAt();
     return {
       ...to.configuration.exportDocuments(after, skip),
@@ -142,7 +142,7 @@
       cutFromStore: false,
       cutFromPeers: false,
       isSuspected: false,
-      asked: 0,
+      answeredPeerCalls: 0,
     };
     instances.push(instance);
     const runRepeatedly = async (task: () => Promise<void>) => {
--- a/src/tools/configuration/measure_configuration.ts
+++ b/src/tools/configuration/measure_configuration.ts
@@ -98,7 +98,7 @@
 ): Promise<{refusals: number; calls: number[]}> {
   const {clock, platform, instances, secret} = fleet;
   platform.faults.down = true;
-  const before = instances.map(({asked}) => asked);
+  const before = instances.map(({answeredPeerCalls: asked}) => asked);
   let refusals = 0;
   for (let second = 0; second < OUTAGE_S; second++) {
     await clock.advanceAsync(1000);
@@ -108,7 +108,7 @@
   }
   platform.faults.down = false;
   const calls = instances.map(
-    ({asked}, index) => (asked - before[index]) / OUTAGE_S,
+    ({answeredPeerCalls: asked}, index) => (asked - before[index]) / OUTAGE_S,
   );
   return {refusals, calls};
 }
