--- a/src/plays/expectations.ts
+++ b/src/plays/expectations.ts
@@ -1,6 +1,6 @@
 /** Compares the results of a simulation with the expectations of its scenario. */
 import {MEASURES} from './play_measures.js';
-import {runPlay, type PlayParts} from './play_runner.js';
+import {runSimulation, type PlayParts} from './play_runner.js';
 import type {PlayResult} from './play_result.js';
 import type {Expectation, Play} from './play_schema.js';
 
@@ -86,7 +86,7 @@
   parts: Partial<PlayParts>,
 ): PlayResult[] {
   return Array.from({length: scenario.seeds}, (_, index) =>
-    runPlay({...scenario, seed: scenario.seed + index}, parts),
+    runSimulation({...scenario, seed: scenario.seed + index}, parts),
   );
 }
 
--- a/src/plays/play_runner.ts
+++ b/src/plays/play_runner.ts
@@ -56,7 +56,7 @@
 }
 
 /** Simulates a scenario to its end. */
-export function runPlay(
+export function runSimulation(
   scenario: Play,
   parts: Partial<PlayParts> = {},
 ): PlayResult {
--- a/src/tools/measure/four_measures.ts
+++ b/src/tools/measure/four_measures.ts
@@ -2,7 +2,7 @@
 import type {Histogram} from 'hdr-histogram-js';
 import {computeBatchRate, MEASURES} from '../../plays/play_measures.js';
 import {readPercentile, type PlayResult} from '../../plays/play_result.js';
-import {runPlay, type PlayParts} from '../../plays/play_runner.js';
+import {runSimulation, type PlayParts} from '../../plays/play_runner.js';
 import {
   buildScenario,
   type Deployment,
@@ -59,7 +59,10 @@
 ): FourMeasures {
   const simulate = (situation: Situation) =>
     seeds.map(seed =>
-      runPlay(buildScenario(deployment, situation, seed, variation), parts),
+      runSimulation(
+        buildScenario(deployment, situation, seed, variation),
+        parts,
+      ),
     );
   const online = simulate('online');
   const batch = simulate('batch');
--- a/src/tools/measure/main.ts
+++ b/src/tools/measure/main.ts
@@ -6,7 +6,7 @@
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 import {parseArgs} from 'node:util';
-import {runPlay} from '../../plays/play_runner.js';
+import {runSimulation} from '../../plays/play_runner.js';
 import {buildAblations} from './ablation.js';
 import {buildScenario, DEPLOYMENTS, type Variation} from './deployments.js';
 import {measurePolicy, type FourMeasures} from './four_measures.js';
@@ -118,7 +118,7 @@
   writeFileSync(join(REPORT_DIRECTORY, 'policy.md'), `${text}\n`);
   const svg = await renderTradePlot(plotted);
   writeFileSync(join(REPORT_DIRECTORY, 'trade.svg'), svg);
-  const burst = runPlay(buildScenario(DEPLOYMENTS[0], 'burst', 1));
+  const burst = runSimulation(buildScenario(DEPLOYMENTS[0], 'burst', 1));
   writeFileSync(
     join(REPORT_DIRECTORY, 'burst.svg'),
     await renderBurstPlot(burst),
