--- a/src/plays/expectations.ts
+++ b/src/plays/expectations.ts
@@ -1,6 +1,6 @@
 /** Compares the results of a simulation with the expectations of its scenario. */
 import {MEASURES} from './play_measures.js';
-import {runSimulation, type PlayParts} from './play_runner.js';
+import {runSimulation, type SimulationParts} from './play_runner.js';
 import type {PlayResult} from './play_result.js';
 import type {Expectation, Play} from './play_schema.js';
 
@@ -40,7 +40,7 @@
 /** Simulates a scenario, and its reduced forms where expectations need them. */
 export function checkScenario(
   scenario: Play,
-  parts: Partial<PlayParts> = {},
+  parts: Partial<SimulationParts> = {},
 ): {result: PlayResult; expectations: CheckedExpectation[]} {
   const results = simulateSeeds(scenario, parts);
   const reduced = new Map<string, PlayResult[]>();
@@ -83,7 +83,7 @@
 
 function simulateSeeds(
   scenario: Play,
-  parts: Partial<PlayParts>,
+  parts: Partial<SimulationParts>,
 ): PlayResult[] {
   return Array.from({length: scenario.seeds}, (_, index) =>
     runSimulation({...scenario, seed: scenario.seed + index}, parts),
--- a/src/plays/play_runner.ts
+++ b/src/plays/play_runner.ts
@@ -32,14 +32,14 @@
 const MAX_ATTEMPTS = 3;
 
 /** Parts of a simulation that the `measure` tool replaces by baselines. */
-export interface PlayParts {
+export interface SimulationParts {
   createScheduler: (limits: PoolLimits) => PoolScheduler;
   createGate: RateGateFactory;
   /** Whether instances report each first byte as it arrives. */
   hasFirstByteReports: boolean;
 }
 
-const DEFAULT_PARTS: PlayParts = {
+const DEFAULT_PARTS: SimulationParts = {
   createScheduler: createPoolScheduler,
   createGate: createExactGate,
   hasFirstByteReports: true,
@@ -58,7 +58,7 @@
 /** Simulates a scenario to its end. */
 export function runSimulation(
   scenario: Play,
-  parts: Partial<PlayParts> = {},
+  parts: Partial<SimulationParts> = {},
 ): PlayResult {
   const {createScheduler, createGate, hasFirstByteReports} = {
     ...DEFAULT_PARTS,
--- a/src/tools/measure/four_measures.ts
+++ b/src/tools/measure/four_measures.ts
@@ -2,7 +2,7 @@
 import type {Histogram} from 'hdr-histogram-js';
 import {computeBatchRate, MEASURES} from '../../plays/play_measures.js';
 import {readPercentile, type PlayResult} from '../../plays/play_result.js';
-import {runSimulation, type PlayParts} from '../../plays/play_runner.js';
+import {runSimulation, type SimulationParts} from '../../plays/play_runner.js';
 import {
   buildScenario,
   type Deployment,
@@ -53,7 +53,7 @@
 export function measurePolicy(
   deployment: Deployment,
   policy: string,
-  parts: Partial<PlayParts>,
+  parts: Partial<SimulationParts>,
   seeds: readonly number[],
   variation: Variation = {},
 ): FourMeasures {
--- a/src/tools/measure/policies.ts
+++ b/src/tools/measure/policies.ts
@@ -1,5 +1,5 @@
 /** The policies that `npm run measure` compares. */
-import type {PlayParts} from '../../plays/play_runner.js';
+import type {SimulationParts} from '../../plays/play_runner.js';
 import {createDividedGate} from '../../plays/rate_gate.js';
 import {
   createLeastConnectionsScheduler,
@@ -9,7 +9,7 @@
 /** Name and parts of each policy; the first is the product's. */
 export const POLICIES: readonly {
   name: string;
-  parts: Partial<PlayParts>;
+  parts: Partial<SimulationParts>;
 }[] = [
   {name: 'mulberryrouter', parts: {}},
   {
