--- a/src/plays/expectations.ts
+++ b/src/plays/expectations.ts
@@ -1,7 +1,7 @@
 /** Compares the results of a simulation with the expectations of its scenario. */
 import {MEASURES} from './play_measures.js';
 import {runSimulation, type SimulationParts} from './play_runner.js';
-import type {PlayResult} from './play_result.js';
+import type {SimulationResult} from './play_result.js';
 import type {Expectation, Play} from './play_schema.js';
 
 /** An expectation with the measured value. */
@@ -41,9 +41,9 @@
 export function checkScenario(
   scenario: Play,
   parts: Partial<SimulationParts> = {},
-): {result: PlayResult; expectations: CheckedExpectation[]} {
+): {result: SimulationResult; expectations: CheckedExpectation[]} {
   const results = simulateSeeds(scenario, parts);
-  const reduced = new Map<string, PlayResult[]>();
+  const reduced = new Map<string, SimulationResult[]>();
 
   function simulateReduced(without: NonNullable<Expectation['without']>) {
     const existing = reduced.get(without);
@@ -59,7 +59,7 @@
    */
   function measureExpectation(expectation: Expectation): number {
     const {measure, account, comparison, without} = expectation;
-    const read = (each: PlayResult) => MEASURES[measure](each, account);
+    const read = (each: SimulationResult) => MEASURES[measure](each, account);
     if (!without) return WORST[comparison](results.map(read));
     return (
       sumValues(results.map(read)) /
@@ -84,7 +84,7 @@
 function simulateSeeds(
   scenario: Play,
   parts: Partial<SimulationParts>,
-): PlayResult[] {
+): SimulationResult[] {
   return Array.from({length: scenario.seeds}, (_, index) =>
     runSimulation({...scenario, seed: scenario.seed + index}, parts),
   );
--- a/src/plays/play_measures.ts
+++ b/src/plays/play_measures.ts
@@ -2,11 +2,11 @@
 import {
   readPercentile,
   type AccountResult,
-  type PlayResult,
+  type SimulationResult,
 } from './play_result.js';
 
 /** Computes one figure from the result of a simulation. */
-type Measure = (result: PlayResult, account?: string) => number;
+type Measure = (result: SimulationResult, account?: string) => number;
 
 /** Every measure that a scenario may name. Times are in ms. */
 export const MEASURES: Record<string, Measure> = {
@@ -42,7 +42,7 @@
 
 /** Reads a first-token percentile of one account, or of all accounts. */
 function readFirstToken(
-  result: PlayResult,
+  result: SimulationResult,
   account: string | undefined,
   percentile: number,
 ): number {
@@ -52,7 +52,7 @@
 }
 
 /** Computes the batch items completed per second. */
-export function computeBatchRate(result: PlayResult): number {
+export function computeBatchRate(result: SimulationResult): number {
   const {durationMs, warmupMs} = result.play;
   return (result.batch.completed * 1000) / (durationMs - warmupMs);
 }
@@ -68,17 +68,17 @@
 }
 
 /** Computes the worst-served account's share relative to the median account's. */
-function computeWorstAccount(result: PlayResult): number {
+function computeWorstAccount(result: SimulationResult): number {
   return compareWorst(result, computeAnsweredShare);
 }
 
-function computeLeastSender(result: PlayResult): number {
+function computeLeastSender(result: SimulationResult): number {
   const accounts = [...result.accounts.values()];
   accounts.sort((a, b) => a.inside + a.beyond - b.inside - b.beyond);
   return computeAnsweredShare(accounts[0]);
 }
 
-function computeWorstPrompt(result: PlayResult): number {
+function computeWorstPrompt(result: SimulationResult): number {
   return compareWorst(result, computePromptShare);
 }
 
@@ -87,7 +87,7 @@
  * inside their rate count, since one that exceeds its rate causes its refusals.
  */
 function compareWorst(
-  result: PlayResult,
+  result: SimulationResult,
   computeServed: (account: AccountResult) => number,
 ): number {
   const shares = [...result.accounts.values()]
@@ -99,18 +99,18 @@
 }
 
 function computeShare(
-  result: PlayResult,
+  result: SimulationResult,
   count: (account: AccountResult) => number,
 ): number {
   return sumAccounts(result, count) / Math.max(1, countInside(result));
 }
 
-function countInside(result: PlayResult): number {
+function countInside(result: SimulationResult): number {
   return sumAccounts(result, account => account.inside);
 }
 
 function sumAccounts(
-  result: PlayResult,
+  result: SimulationResult,
   count: (account: AccountResult) => number,
 ): number {
   let sum = 0;
--- a/src/plays/play_result.ts
+++ b/src/plays/play_result.ts
@@ -33,7 +33,7 @@
 }
 
 /** All figures of one simulation. */
-export interface PlayResult {
+export interface SimulationResult {
   play: Play;
   accounts: Map<string, AccountResult>;
   firstToken: Histogram;
@@ -70,7 +70,7 @@
 }
 
 /** Creates a result in which every figure is 0. */
-export function createSimulationResult(scenario: Play): PlayResult {
+export function createSimulationResult(scenario: Play): SimulationResult {
   return {
     play: scenario,
     accounts: new Map(
@@ -118,7 +118,7 @@
 
 /** Records a first token in every histogram that it belongs to. */
 export function recordFirstToken(
-  result: PlayResult,
+  result: SimulationResult,
   request: SimulatedRequest,
   firstTokenMs: number,
   batchDelayMs: number,
@@ -137,7 +137,7 @@
 }
 
 /** Returns the point of the series for the time `at`. */
-export function getPoint(result: PlayResult, at: number): SeriesPoint {
+export function getPoint(result: SimulationResult, at: number): SeriesPoint {
   const index = Math.floor(at / SERIES_INTERVAL_MS);
   while (result.series.length <= index) {
     const atMs = result.series.length * SERIES_INTERVAL_MS;
--- a/src/plays/play_runner.ts
+++ b/src/plays/play_runner.ts
@@ -14,7 +14,7 @@
 import {createBatchSource, type BatchSource} from './batch_source.js';
 import {createEngineModel, type EngineModel} from './engine_model.js';
 import type {Play, PlayEvent} from './play_schema.js';
-import type {PlayResult} from './play_result.js';
+import type {SimulationResult} from './play_result.js';
 import {createResultRecorder} from './result_recorder.js';
 import {createRandom} from './random.js';
 import {createExactGate, type RateGateFactory} from './rate_gate.js';
@@ -59,7 +59,7 @@
 export function runSimulation(
   scenario: Play,
   parts: Partial<SimulationParts> = {},
-): PlayResult {
+): SimulationResult {
   const {createScheduler, createGate, hasFirstByteReports} = {
     ...DEFAULT_PARTS,
     ...parts,
--- a/src/plays/result_recorder.ts
+++ b/src/plays/result_recorder.ts
@@ -9,17 +9,17 @@
   getPoint,
   recordFirstToken,
   type AccountResult,
-  type PlayResult,
+  type SimulationResult,
 } from './play_result.js';
 import type {Play} from './play_schema.js';
 import type {SimulatedRequest} from './traffic.js';
 
 /** The reason of a refusal. */
-type RefusalReason = Parameters<PlayResult['refused']['get']>[0];
+type RefusalReason = Parameters<SimulationResult['refused']['get']>[0];
 
 /** Records the outcomes of one simulation. */
 export interface ResultRecorder {
-  result: PlayResult;
+  result: SimulationResult;
   noteArrival(request: SimulatedRequest, isInside: boolean): void;
   noteRefusal(
     request: SimulatedRequest,
--- a/src/tools/measure/four_measures.ts
+++ b/src/tools/measure/four_measures.ts
@@ -1,7 +1,10 @@
 /** Computes the users' four measures of one policy on one deployment, over several seeds. */
 import type {Histogram} from 'hdr-histogram-js';
 import {computeBatchRate, MEASURES} from '../../plays/play_measures.js';
-import {readPercentile, type PlayResult} from '../../plays/play_result.js';
+import {
+  readPercentile,
+  type SimulationResult,
+} from '../../plays/play_result.js';
 import {runSimulation, type SimulationParts} from '../../plays/play_runner.js';
 import {
   buildScenario,
@@ -132,7 +135,7 @@
  */
 export function computeBatchBound(
   deployment: Deployment,
-  online: PlayResult,
+  online: SimulationResult,
 ): number {
   const {engine, maxConcurrency, endpoints, durationMs, warmupMs} = online.play;
   const perTokenMs =
@@ -152,8 +155,8 @@
 }
 
 function mergeHistograms(
-  results: readonly PlayResult[],
-  select: (result: PlayResult) => Histogram,
+  results: readonly SimulationResult[],
+  select: (result: SimulationResult) => Histogram,
 ): Histogram {
   const [first, ...rest] = results.map(select);
   for (const histogram of rest) first.add(histogram as never);
@@ -161,7 +164,10 @@
 }
 
 /** Computes the mean of one measure over several simulations. */
-function computeMeanOf(results: readonly PlayResult[], name: string): number {
+function computeMeanOf(
+  results: readonly SimulationResult[],
+  name: string,
+): number {
   return computeMean(results.map(result => MEASURES[name](result)));
 }
 
--- a/src/tools/measure/plots.ts
+++ b/src/tools/measure/plots.ts
@@ -2,7 +2,7 @@
 import vega from 'vega';
 import vegaLite from 'vega-lite';
 import type {FourMeasures} from './four_measures.js';
-import type {PlayResult} from '../../plays/play_result.js';
+import type {SimulationResult} from '../../plays/play_result.js';
 
 /**
  * Renders first-token latency with batch work, relative to that without, against batch
@@ -44,7 +44,7 @@
 }
 
 /** Renders batch items and the slowest first token over a simulation with bursts. */
-export function renderBurstPlot(result: PlayResult): Promise<string> {
+export function renderBurstPlot(result: SimulationResult): Promise<string> {
   const x = {field: 'atMs', type: 'quantitative', title: 'time, ms'};
   return renderSvg({
     data: {values: result.series},
