--- a/src/plays/play_measures.ts
+++ b/src/plays/play_measures.ts
@@ -22,7 +22,7 @@
   'least-sender': computeLeastSender,
   goodput: result =>
     (sumAccounts(result, account => account.answered) * 1000) /
-    (result.play.durationMs - result.play.warmupMs),
+    (result.scenario.durationMs - result.scenario.warmupMs),
   'late-share': result =>
     sumAccounts(result, account => account.late) /
     Math.max(1, countInside(result)),
@@ -47,13 +47,14 @@
   percentile: number,
 ): number {
   const one = account ? result.accounts.get(account) : result;
-  if (!one) throw new Error(`no account '${account}' in ${result.play.name}`);
+  if (!one)
+    throw new Error(`no account '${account}' in ${result.scenario.name}`);
   return readPercentile(one.firstToken, percentile);
 }
 
 /** Computes the batch items completed per second. */
 export function computeBatchRate(result: SimulationResult): number {
-  const {durationMs, warmupMs} = result.play;
+  const {durationMs, warmupMs} = result.scenario;
   return (result.batch.completed * 1000) / (durationMs - warmupMs);
 }
 
--- a/src/plays/play_result.ts
+++ b/src/plays/play_result.ts
@@ -34,7 +34,7 @@
 
 /** All figures of one simulation. */
 export interface SimulationResult {
-  play: Play;
+  scenario: Play;
   accounts: Map<string, AccountResult>;
   firstToken: Histogram;
   firstTokenOfBurst: Histogram;
@@ -72,7 +72,7 @@
 /** Creates a result in which every figure is 0. */
 export function createSimulationResult(scenario: Play): SimulationResult {
   return {
-    play: scenario,
+    scenario,
     accounts: new Map(
       scenario.accounts.map(({name}) => [
         name,
--- a/src/tools/measure/four_measures.ts
+++ b/src/tools/measure/four_measures.ts
@@ -137,7 +137,8 @@
   deployment: Deployment,
   online: SimulationResult,
 ): number {
-  const {engine, maxConcurrency, endpoints, durationMs, warmupMs} = online.play;
+  const {engine, maxConcurrency, endpoints, durationMs, warmupMs} =
+    online.scenario;
   const perTokenMs =
     engine.stepBaseMs / maxConcurrency + engine.stepPerSequenceMs;
   const onlineMs =
