--- a/src/plays/play_measures.ts
+++ b/src/plays/play_measures.ts
@@ -15,8 +15,8 @@
   'first-token-p99': (result, account) => readFirstToken(result, account, 99),
   'burst-first-token-p99': result =>
     readPercentile(result.firstTokenOfBurst, 99),
-  'burst-held-p99': result => readPercentile(result.heldOfBurst, 99),
-  'burst-held-max': result => readPercentile(result.heldOfBurst, 100),
+  'burst-held-p99': result => readPercentile(result.batchDelayOfBurst, 99),
+  'burst-held-max': result => readPercentile(result.batchDelayOfBurst, 100),
   'answered-share': result => computeShare(result, account => account.answered),
   /** For the account that sends least, which is within any fair share. */
   'least-sender': computeLeastSender,
--- a/src/plays/play_result.ts
+++ b/src/plays/play_result.ts
@@ -39,7 +39,7 @@
   firstToken: Histogram;
   firstTokenOfBurst: Histogram;
   /** Time for which batch work delayed the requests of a burst. */
-  heldOfBurst: Histogram;
+  batchDelayOfBurst: Histogram;
   refused: Map<RefusalReason | 'rate', number>;
   /** Number refused although inside the rate, for any reason. */
   wrongful: number;
@@ -89,7 +89,7 @@
     ),
     firstToken: createHistogram(),
     firstTokenOfBurst: createHistogram(),
-    heldOfBurst: createHistogram(),
+    batchDelayOfBurst: createHistogram(),
     refused: new Map(),
     wrongful: 0,
     slowestRefusalMs: 0,
@@ -129,7 +129,7 @@
   if (firstTokenMs <= FIRST_TOKEN_TARGET_MS) account.prompt++;
   if (request.isBurst) {
     recordMs(result.firstTokenOfBurst, firstTokenMs);
-    recordMs(result.heldOfBurst, batchDelayMs);
+    recordMs(result.batchDelayOfBurst, batchDelayMs);
   }
   const point = getPoint(result, request.arrivedAt);
   point.online++;
--- a/src/tools/measure/four_measures.ts
+++ b/src/tools/measure/four_measures.ts
@@ -87,7 +87,7 @@
     burstOnline,
     each => each.firstTokenOfBurst,
   );
-  const held = mergeHistograms(burst, each => each.heldOfBurst);
+  const held = mergeHistograms(burst, each => each.batchDelayOfBurst);
   const batchRate = computeMean(batch.map(computeBatchRate));
   const batchBound = computeMean(
     online.map(result => computeBatchBound(deployment, result)),
