--- a/src/plays/play_schema.ts
+++ b/src/plays/play_schema.ts
@@ -89,7 +89,7 @@
 });
 
 /** Schema of a complete scenario. */
-export const playSchema = z.strictObject({
+export const scenarioSchema = z.strictObject({
   name: z.string(),
   seed: z.number().int().default(1),
   /** Number of runs that are judged together, with seeds from `seed` on. */
@@ -110,7 +110,7 @@
 });
 
 /** A validated scenario. */
-export type Play = z.infer<typeof playSchema>;
+export type Play = z.infer<typeof scenarioSchema>;
 /** A client account of a scenario. */
 export type ScenarioAccount = z.infer<typeof accountSchema>;
 /** A batch job of a scenario. */
--- a/src/plays/scenario_language.ts
+++ b/src/plays/scenario_language.ts
@@ -11,7 +11,7 @@
  */
 import {durationSchema, rateSchema} from '../common/units.js';
 import {MEASURES} from './play_measures.js';
-import {playSchema, type Play} from './play_schema.js';
+import {scenarioSchema, type Play} from './play_schema.js';
 
 /** A line of a scenario that cannot be parsed. */
 export class PlaySyntaxError extends Error {
@@ -162,7 +162,7 @@
     if (words[0] === '') return;
     applyStatement(draft, words, index + 1);
   });
-  return playSchema.parse(draft);
+  return scenarioSchema.parse(draft);
 }
 
 function applyStatement(draft: Draft, words: string[], line: number) {
--- a/src/tools/measure/deployments.ts
+++ b/src/tools/measure/deployments.ts
@@ -3,7 +3,7 @@
  * domains, and 8 client accounts, a few of them large.
  */
 import {
-  playSchema,
+  scenarioSchema,
   type Play,
   type PlayEvent,
 } from '../../plays/play_schema.js';
@@ -175,7 +175,7 @@
   const {hasBatch, buildEvents, ...situationParts} = SITUATIONS[situation];
   const load = (variation.load ?? 1) * (situationParts.load ?? 1);
   const {online, batch} = deployment.sizes;
-  return playSchema.parse({
+  return scenarioSchema.parse({
     name: `${deployment.name} ${situation}`,
     seed,
     durationMs: DURATION_MS,
