--- a/src/plays/batch_source.ts
+++ b/src/plays/batch_source.ts
@@ -1,6 +1,6 @@
 /** Runs the batch jobs of a scenario; each job keeps a window of items open. */
 import type {Clock} from '../common/clock.js';
-import type {Play, ScenarioBatch} from './play_schema.js';
+import type {Scenario, ScenarioBatch} from './play_schema.js';
 import type {SimulatedRequest, Traffic} from './traffic.js';
 
 const ITEM_DEADLINE_MS = 60_000;
@@ -23,7 +23,7 @@
 
 /** Creates the source; `submit` requests a slot for an item. */
 export function createBatchSource(
-  scenario: Play,
+  scenario: Scenario,
   clock: Clock,
   traffic: Traffic,
   submit: (item: SimulatedRequest) => void,
--- a/src/plays/expectations.ts
+++ b/src/plays/expectations.ts
@@ -2,7 +2,7 @@
 import {MEASURES} from './play_measures.js';
 import {runSimulation, type SimulationParts} from './play_runner.js';
 import type {SimulationResult} from './play_result.js';
-import type {Expectation, Play} from './play_schema.js';
+import type {Expectation, Scenario} from './play_schema.js';
 
 /** An expectation with the measured value. */
 export interface CheckedExpectation {
@@ -22,7 +22,7 @@
 /** Reduces a scenario, for comparisons with the complete one. */
 const REDUCTIONS: Record<
   NonNullable<Expectation['without']>,
-  (scenario: Play) => Play
+  (scenario: Scenario) => Scenario
 > = {
   batch: scenario => ({...scenario, batch: []}),
   events: scenario => ({...scenario, events: []}),
@@ -39,7 +39,7 @@
 
 /** Simulates a scenario, and its reduced forms where expectations need them. */
 export function checkScenario(
-  scenario: Play,
+  scenario: Scenario,
   parts: Partial<SimulationParts> = {},
 ): {result: SimulationResult; expectations: CheckedExpectation[]} {
   const results = simulateSeeds(scenario, parts);
@@ -82,7 +82,7 @@
 }
 
 function simulateSeeds(
-  scenario: Play,
+  scenario: Scenario,
   parts: Partial<SimulationParts>,
 ): SimulationResult[] {
   return Array.from({length: scenario.seeds}, (_, index) =>
--- a/src/plays/play_result.ts
+++ b/src/plays/play_result.ts
@@ -1,7 +1,7 @@
 /** The result of a simulation: what callers received. */
 import {build, type Histogram} from 'hdr-histogram-js';
 import type {RefusalReason} from '../decisions/scheduler_types.js';
-import type {Play} from './play_schema.js';
+import type {Scenario} from './play_schema.js';
 import type {SimulatedRequest} from './traffic.js';
 
 /** Target for the first token; the users' aim is 95 in 100 within it. */
@@ -34,7 +34,7 @@
 
 /** All figures of one simulation. */
 export interface SimulationResult {
-  scenario: Play;
+  scenario: Scenario;
   accounts: Map<string, AccountResult>;
   firstToken: Histogram;
   firstTokenOfBurst: Histogram;
@@ -70,7 +70,7 @@
 }
 
 /** Creates a result in which every figure is 0. */
-export function createSimulationResult(scenario: Play): SimulationResult {
+export function createSimulationResult(scenario: Scenario): SimulationResult {
   return {
     scenario,
     accounts: new Map(
--- a/src/plays/play_runner.ts
+++ b/src/plays/play_runner.ts
@@ -13,7 +13,7 @@
 } from '../decisions/scheduler_types.js';
 import {createBatchSource, type BatchSource} from './batch_source.js';
 import {createEngineModel, type EngineModel} from './engine_model.js';
-import type {Play, PlayEvent} from './play_schema.js';
+import type {Scenario, PlayEvent} from './play_schema.js';
 import type {SimulationResult} from './play_result.js';
 import {createResultRecorder} from './result_recorder.js';
 import {createRandom} from './random.js';
@@ -57,7 +57,7 @@
 
 /** Simulates a scenario to its end. */
 export function runSimulation(
-  scenario: Play,
+  scenario: Scenario,
   parts: Partial<SimulationParts> = {},
 ): SimulationResult {
   const {createScheduler, createGate, hasFirstByteReports} = {
--- a/src/plays/play_schema.ts
+++ b/src/plays/play_schema.ts
@@ -110,7 +110,7 @@
 });
 
 /** A validated scenario. */
-export type Play = z.infer<typeof scenarioSchema>;
+export type Scenario = z.infer<typeof scenarioSchema>;
 /** A client account of a scenario. */
 export type ScenarioAccount = z.infer<typeof accountSchema>;
 /** A batch job of a scenario. */
--- a/src/plays/result_recorder.ts
+++ b/src/plays/result_recorder.ts
@@ -11,7 +11,7 @@
   type AccountResult,
   type SimulationResult,
 } from './play_result.js';
-import type {Play} from './play_schema.js';
+import type {Scenario} from './play_schema.js';
 import type {SimulatedRequest} from './traffic.js';
 
 /** The reason of a refusal. */
@@ -49,7 +49,7 @@
 }
 
 /** Creates a recorder in which every figure is 0. */
-export function createResultRecorder(scenario: Play): ResultRecorder {
+export function createResultRecorder(scenario: Scenario): ResultRecorder {
   const result = createSimulationResult(scenario);
   const inside = new Set<string>();
 
--- a/src/plays/scenario_language.ts
+++ b/src/plays/scenario_language.ts
@@ -11,7 +11,7 @@
  */
 import {durationSchema, rateSchema} from '../common/units.js';
 import {MEASURES} from './play_measures.js';
-import {scenarioSchema, type Play} from './play_schema.js';
+import {scenarioSchema, type Scenario} from './play_schema.js';
 
 /** A line of a scenario that cannot be parsed. */
 export class PlaySyntaxError extends Error {
@@ -155,7 +155,7 @@
  * Parses a scenario. Throws PlaySyntaxError with the line number, or the
  * validation error of the schema.
  */
-export function parseScenario(text: string): Play {
+export function parseScenario(text: string): Scenario {
   const draft: Draft = {accounts: [], batch: [], events: [], expectations: []};
   text.split('\n').forEach((line, index) => {
     const words = line.replace(/#.*/, '').trim().split(/\s+/);
--- a/src/plays/traffic.ts
+++ b/src/plays/traffic.ts
@@ -2,7 +2,7 @@
 import murmurhash from 'murmurhash';
 import type {Clock} from '../common/clock.js';
 import type {
-  Play,
+  Scenario,
   ScenarioAccount,
   ScenarioBatch,
   RequestSizes,
@@ -42,7 +42,7 @@
 
 /** Creates the traffic; `receive` gets each online request on its arrival. */
 export function createTraffic(
-  scenario: Play,
+  scenario: Scenario,
   clock: Clock,
   receive: (request: SimulatedRequest) => void,
 ): Traffic {
--- a/src/tools/measure/deployments.ts
+++ b/src/tools/measure/deployments.ts
@@ -4,7 +4,7 @@
  */
 import {
   scenarioSchema,
-  type Play,
+  type Scenario,
   type PlayEvent,
 } from '../../plays/play_schema.js';
 import type {EngineParameters} from '../../plays/engine_parameters.js';
@@ -171,7 +171,7 @@
   situation: Situation,
   seed: number,
   variation: Variation = {},
-): Play {
+): Scenario {
   const {hasBatch, buildEvents, ...situationParts} = SITUATIONS[situation];
   const load = (variation.load ?? 1) * (situationParts.load ?? 1);
   const {online, batch} = deployment.sizes;
