--- a/src/plays/play_runner.ts
+++ b/src/plays/play_runner.ts
@@ -13,7 +13,7 @@
 } from '../decisions/scheduler_types.js';
 import {createBatchSource, type BatchSource} from './batch_source.js';
 import {createEngineModel, type EngineModel} from './engine_model.js';
-import type {Scenario, PlayEvent} from './play_schema.js';
+import type {Scenario, ScenarioEvent} from './play_schema.js';
 import type {SimulationResult} from './play_result.js';
 import {createResultRecorder} from './result_recorder.js';
 import {createRandom} from './random.js';
@@ -293,8 +293,8 @@
   // ---- scenario events -----------------------------------------------------
 
   const eventHandlers: {
-    [Kind in PlayEvent['kind']]: (
-      event: Extract<PlayEvent, {kind: Kind}>,
+    [Kind in ScenarioEvent['kind']]: (
+      event: Extract<ScenarioEvent, {kind: Kind}>,
     ) => void;
   } = {
     burst: ({account, requests, withinMs}) =>
--- a/src/plays/play_schema.ts
+++ b/src/plays/play_schema.ts
@@ -116,7 +116,7 @@
 /** A batch job of a scenario. */
 export type ScenarioBatch = z.infer<typeof batchSchema>;
 /** An event at a set time. */
-export type PlayEvent = z.infer<typeof eventSchema>;
+export type ScenarioEvent = z.infer<typeof eventSchema>;
 /** Sizes of the requests of an account or a job. */
 export type RequestSizes = z.infer<typeof sizesSchema>;
 /** A condition on the results. */
--- a/src/tools/measure/deployments.ts
+++ b/src/tools/measure/deployments.ts
@@ -5,7 +5,7 @@
 import {
   scenarioSchema,
   type Scenario,
-  type PlayEvent,
+  type ScenarioEvent,
 } from '../../plays/play_schema.js';
 import type {EngineParameters} from '../../plays/engine_parameters.js';
 
@@ -104,7 +104,7 @@
 
 interface SituationParts {
   hasBatch: boolean;
-  buildEvents: (deployment: Deployment) => PlayEvent[];
+  buildEvents: (deployment: Deployment) => ScenarioEvent[];
   /** Factor on every account's load and rate. */
   load?: number;
   engine?: Partial<EngineParameters>;
@@ -140,7 +140,7 @@
   },
 };
 
-function buildBursts({burst}: Deployment): PlayEvent[] {
+function buildBursts({burst}: Deployment): ScenarioEvent[] {
   return BURST_AT_MS.map(atMs => ({
     kind: 'burst',
     atMs,
@@ -149,7 +149,7 @@
   }));
 }
 
-function buildOverRate({offender, accounts}: Deployment): PlayEvent[] {
+function buildOverRate({offender, accounts}: Deployment): ScenarioEvent[] {
   const [, load] = accounts.find(([name]) => name === offender)!;
   const rate = 2 * load;
   return [
