--- a/src/cli/commands/stand_in_platform.ts
+++ b/src/cli/commands/stand_in_platform.ts
@@ -1,6 +1,6 @@
 /** `stand-in platform`: table service, object store and instance list on loopback. */
 import {Command, Flags} from '@oclif/core';
-import {createPlatformServer} from '../../stand_ins/platform/platform_server.js';
+import {startPlatformServer} from '../../stand_ins/platform/platform_server.js';
 import {awaitInterrupt} from '../interrupts.js';
 
 /** Runs until interrupted. */
@@ -22,7 +22,7 @@
 
   async run(): Promise<void> {
     const {flags} = await this.parse(StandInPlatformCommand);
-    const server = await createPlatformServer({port: flags.port});
+    const server = await startPlatformServer({port: flags.port});
     this.log(`platform stand-in at ${server.address}; settings that reach it:`);
     this.log('[platform]');
     for (const [name, value] of Object.entries(server.settings)) {
--- a/src/stand_ins/platform/platform_server.ts
+++ b/src/stand_ins/platform/platform_server.ts
@@ -54,7 +54,7 @@
 };
 
 /** Starts the server on loopback. */
-export async function createPlatformServer(
+export async function startPlatformServer(
   options: PlatformServerOptions = {},
 ): Promise<PlatformServer> {
   const {
--- a/src/stores/platform.test.ts
+++ b/src/stores/platform.test.ts
@@ -4,7 +4,7 @@
 import {createRetrier} from './retrier.js';
 import {createHttpTransport} from './http_transport.js';
 import {createHttpInstanceList} from './http_instance_list.js';
-import {createPlatformServer} from '../stand_ins/platform/platform_server.js';
+import {startPlatformServer} from '../stand_ins/platform/platform_server.js';
 import {createSystemClock} from '../common/clock.js';
 import {
   startConnectedPlatform,
@@ -168,7 +168,7 @@
   // Each instance requests the list once a second. A list of 400 KB, sent each
   // time, would be 30 times the bandwidth allowed for control traffic.
   it('is sent only when it has changed, and compressed', async () => {
-    const server = await createPlatformServer();
+    const server = await startPlatformServer();
     const transport = createHttpTransport(LIST_TIMEOUT_MS);
     const sizes: number[] = [];
     const list = createHttpInstanceList({
--- a/src/testing/platforms.ts
+++ b/src/testing/platforms.ts
@@ -8,7 +8,7 @@
   createMemoryPlatform,
   type MemoryPlatform,
 } from '../stand_ins/platform/memory_platform.js';
-import {createPlatformServer} from '../stand_ins/platform/platform_server.js';
+import {startPlatformServer} from '../stand_ins/platform/platform_server.js';
 import {SETTINGS_TEXT} from './fixtures.js';
 
 /** A platform under test, and the in-memory platform that holds its data. */
@@ -40,7 +40,7 @@
 
 /** Starts a platform server and connects the real adapters to it. */
 export async function startConnectedPlatform() {
-  const server = await createPlatformServer();
+  const server = await startPlatformServer();
   const text = buildSettingsText(server.settings);
   const settings = parseSettings(text, 'test settings');
   const platform = createPlatform(settings.platform, {
--- a/src/tools/bench_batch/bench_batch.ts
+++ b/src/tools/bench_batch/bench_batch.ts
@@ -21,7 +21,7 @@
 } from '../../instance/members/instance_lease.js';
 import {createPlatform} from '../../stores/create_platform.js';
 import type {Platform} from '../../stores/platform.js';
-import {createPlatformServer} from '../../stand_ins/platform/platform_server.js';
+import {startPlatformServer} from '../../stand_ins/platform/platform_server.js';
 import {ENGINE_DOCUMENT, makeSettings} from '../../testing/fixtures.js';
 import {
   countLinesInOrder,
@@ -235,7 +235,7 @@
 }
 
 async function servePlatform() {
-  const server = await createPlatformServer();
+  const server = await startPlatformServer();
   process.send?.(server.settings);
 }
 
--- a/src/tools/bench_batch/bench_engines.ts
+++ b/src/tools/bench_batch/bench_engines.ts
@@ -14,7 +14,7 @@
 import {giveKey} from '../../instance/keys/key_directory.js';
 import {createPlatform} from '../../stores/create_platform.js';
 import {startEngineServer} from '../../stand_ins/engine/engine_server.js';
-import {createPlatformServer} from '../../stand_ins/platform/platform_server.js';
+import {startPlatformServer} from '../../stand_ins/platform/platform_server.js';
 import {
   ENGINE_DOCUMENT,
   makeEndpoint,
@@ -100,7 +100,7 @@
 }
 
 async function serveStandIns() {
-  const server = await createPlatformServer();
+  const server = await startPlatformServer();
   const engines = await Promise.all(
     Array.from({length: ENGINES}, () => startEngineServer()),
   );
--- a/src/tools/load/load_fleet.ts
+++ b/src/tools/load/load_fleet.ts
@@ -9,7 +9,7 @@
 import {giveKey} from '../../instance/keys/key_directory.js';
 import type {ListedInstance} from '../../stores/instance_list.js';
 import {
-  createPlatformServer,
+  startPlatformServer,
   type PlatformServer,
 } from '../../stand_ins/platform/platform_server.js';
 import {startChild, type Child} from './child.js';
@@ -45,7 +45,7 @@
 
 /** Starts the fleet and its platform on free ports of loopback. */
 export async function startLoadFleet(shape: FleetShape): Promise<LoadFleet> {
-  const platform = await createPlatformServer();
+  const platform = await startPlatformServer();
   const folder = await mkdtemp(join(tmpdir(), 'mulberryrouter-load-'));
   const engines = await startEngines(platform, shape.endpoints);
   const {table} = platform.platform;
