--- a/src/plays/expectations.ts
+++ b/src/plays/expectations.ts
@@ -1,6 +1,6 @@
 /** Compares the results of a simulation with the expectations of its scenario. */
 import {MEASURES} from './play_measures.js';
-import {runSimulation, type SimulationParts} from './play_runner.js';
+import {runSimulation, type SimulationParts} from './simulation.js';
 import type {SimulationResult} from './play_result.js';
 import type {Expectation, Scenario} from './play_schema.js';
 
--- a/src/tools/measure/ablation.ts
+++ b/src/tools/measure/ablation.ts
@@ -1,7 +1,7 @@
 /** The product's policy with one mechanism switched off at a time. */
 import {ALL_MECHANISMS} from '../../decisions/mechanisms.js';
 import {createPoolScheduler} from '../../decisions/pool_scheduler.js';
-import type {SimulationParts} from '../../plays/play_runner.js';
+import type {SimulationParts} from '../../plays/simulation.js';
 
 /** Lists the name and parts of each reduced policy; the first is the complete one. */
 export function buildAblations(): {
--- a/src/tools/measure/four_measures.ts
+++ b/src/tools/measure/four_measures.ts
@@ -5,7 +5,7 @@
   readPercentile,
   type SimulationResult,
 } from '../../plays/play_result.js';
-import {runSimulation, type SimulationParts} from '../../plays/play_runner.js';
+import {runSimulation, type SimulationParts} from '../../plays/simulation.js';
 import {
   buildScenario,
   type Deployment,
--- a/src/tools/measure/main.ts
+++ b/src/tools/measure/main.ts
@@ -6,7 +6,7 @@
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 import {parseArgs} from 'node:util';
-import {runSimulation} from '../../plays/play_runner.js';
+import {runSimulation} from '../../plays/simulation.js';
 import {buildAblations} from './ablation.js';
 import {buildScenario, DEPLOYMENTS, type Variation} from './deployments.js';
 import {measurePolicy, type FourMeasures} from './four_measures.js';
--- a/src/tools/measure/policies.ts
+++ b/src/tools/measure/policies.ts
@@ -1,5 +1,5 @@
 /** The policies that `npm run measure` compares. */
-import type {SimulationParts} from '../../plays/play_runner.js';
+import type {SimulationParts} from '../../plays/simulation.js';
 import {createDividedGate} from '../../plays/rate_gate.js';
 import {
   createLeastConnectionsScheduler,
