--- a/src/plays/expectations.ts
+++ b/src/plays/expectations.ts
@@ -1,7 +1,7 @@
 /** Compares the results of a simulation with the expectations of its scenario. */
 import {MEASURES} from './play_measures.js';
 import {runSimulation, type SimulationParts} from './simulation.js';
-import type {SimulationResult} from './play_result.js';
+import type {SimulationResult} from './simulation_result.js';
 import type {Expectation, Scenario} from './play_schema.js';
 
 /** An expectation with the measured value. */
--- a/src/plays/play_measures.ts
+++ b/src/plays/play_measures.ts
@@ -3,7 +3,7 @@
   readPercentile,
   type AccountResult,
   type SimulationResult,
-} from './play_result.js';
+} from './simulation_result.js';
 
 /** Computes one figure from the result of a simulation. */
 type Measure = (result: SimulationResult, account?: string) => number;
--- a/src/plays/result_recorder.ts
+++ b/src/plays/result_recorder.ts
@@ -10,7 +10,7 @@
   recordFirstToken,
   type AccountResult,
   type SimulationResult,
-} from './play_result.js';
+} from './simulation_result.js';
 import type {Scenario} from './play_schema.js';
 import type {SimulatedRequest} from './traffic.js';
 
--- a/src/plays/simulation.ts
+++ b/src/plays/simulation.ts
@@ -14,7 +14,7 @@
 import {createBatchSource, type BatchSource} from './batch_source.js';
 import {createEngineModel, type EngineModel} from './engine_model.js';
 import type {Scenario, ScenarioEvent} from './play_schema.js';
-import type {SimulationResult} from './play_result.js';
+import type {SimulationResult} from './simulation_result.js';
 import {createResultRecorder} from './result_recorder.js';
 import {createRandom} from './random.js';
 import {createExactGate, type RateGateFactory} from './rate_gate.js';
--- a/src/tools/measure/four_measures.ts
+++ b/src/tools/measure/four_measures.ts
@@ -4,7 +4,7 @@
 import {
   readPercentile,
   type SimulationResult,
-} from '../../plays/play_result.js';
+} from '../../plays/simulation_result.js';
 import {runSimulation, type SimulationParts} from '../../plays/simulation.js';
 import {
   buildScenario,
--- a/src/tools/measure/plots.ts
+++ b/src/tools/measure/plots.ts
@@ -2,7 +2,7 @@
 import vega from 'vega';
 import vegaLite from 'vega-lite';
 import type {FourMeasures} from './four_measures.js';
-import type {SimulationResult} from '../../plays/play_result.js';
+import type {SimulationResult} from '../../plays/simulation_result.js';
 
 /**
  * Renders first-token latency with batch work, relative to that without, against batch
