--- a/src/plays/expectations.ts
+++ b/src/plays/expectations.ts
@@ -1,5 +1,5 @@
 /** Compares the results of a simulation with the expectations of its scenario. */
-import {MEASURES} from './play_measures.js';
+import {MEASURES} from './measures.js';
 import {runSimulation, type SimulationParts} from './simulation.js';
 import type {SimulationResult} from './simulation_result.js';
 import type {Expectation, Scenario} from './play_schema.js';
--- a/src/plays/scenario_language.ts
+++ b/src/plays/scenario_language.ts
@@ -10,7 +10,7 @@
  *     expect first-token-p99 <= 1.10 without batch
  */
 import {durationSchema, rateSchema} from '../common/units.js';
-import {MEASURES} from './play_measures.js';
+import {MEASURES} from './measures.js';
 import {scenarioSchema, type Scenario} from './play_schema.js';
 
 /** A line of a scenario that cannot be parsed. */
--- a/src/tools/measure/four_measures.ts
+++ b/src/tools/measure/four_measures.ts
@@ -1,6 +1,6 @@
 /** Computes the users' four measures of one policy on one deployment, over several seeds. */
 import type {Histogram} from 'hdr-histogram-js';
-import {computeBatchRate, MEASURES} from '../../plays/play_measures.js';
+import {computeBatchRate, MEASURES} from '../../plays/measures.js';
 import {
   readPercentile,
   type SimulationResult,
