--- a/src/plays/batch_source.ts
+++ b/src/plays/batch_source.ts
@@ -1,6 +1,6 @@
 /** Runs the batch jobs of a scenario; each job keeps a window of items open. */
 import type {Clock} from '../common/clock.js';
-import type {Scenario, ScenarioBatch} from './play_schema.js';
+import type {Scenario, ScenarioBatch} from './scenario_schema.js';
 import type {SimulatedRequest, Traffic} from './traffic.js';
 
 const ITEM_DEADLINE_MS = 60_000;
--- a/src/plays/expectations.ts
+++ b/src/plays/expectations.ts
@@ -2,7 +2,7 @@
 import {MEASURES} from './measures.js';
 import {runSimulation, type SimulationParts} from './simulation.js';
 import type {SimulationResult} from './simulation_result.js';
-import type {Expectation, Scenario} from './play_schema.js';
+import type {Expectation, Scenario} from './scenario_schema.js';
 
 /** An expectation with the measured value. */
 export interface CheckedExpectation {
--- a/src/plays/rate_gate.ts
+++ b/src/plays/rate_gate.ts
@@ -1,5 +1,5 @@
 /** Rate limits of a simulation: exact over the whole fleet, or a baseline. */
-import type {ScenarioAccount} from './play_schema.js';
+import type {ScenarioAccount} from './scenario_schema.js';
 
 /** Decides whether a request is inside its account's rate. */
 export interface RateGate {
--- a/src/plays/result_recorder.ts
+++ b/src/plays/result_recorder.ts
@@ -11,7 +11,7 @@
   type AccountResult,
   type SimulationResult,
 } from './simulation_result.js';
-import type {Scenario} from './play_schema.js';
+import type {Scenario} from './scenario_schema.js';
 import type {SimulatedRequest} from './traffic.js';
 
 /** The reason of a refusal. */
--- a/src/plays/scenario_language.ts
+++ b/src/plays/scenario_language.ts
@@ -11,7 +11,7 @@
  */
 import {durationSchema, rateSchema} from '../common/units.js';
 import {MEASURES} from './measures.js';
-import {scenarioSchema, type Scenario} from './play_schema.js';
+import {scenarioSchema, type Scenario} from './scenario_schema.js';
 
 /** A line of a scenario that cannot be parsed. */
 export class PlaySyntaxError extends Error {
--- a/src/plays/simulation.ts
+++ b/src/plays/simulation.ts
@@ -13,7 +13,7 @@
 } from '../decisions/scheduler_types.js';
 import {createBatchSource, type BatchSource} from './batch_source.js';
 import {createEngineModel, type EngineModel} from './engine_model.js';
-import type {Scenario, ScenarioEvent} from './play_schema.js';
+import type {Scenario, ScenarioEvent} from './scenario_schema.js';
 import type {SimulationResult} from './simulation_result.js';
 import {createResultRecorder} from './result_recorder.js';
 import {createRandom} from './random.js';
--- a/src/plays/simulation_result.ts
+++ b/src/plays/simulation_result.ts
@@ -1,7 +1,7 @@
 /** The result of a simulation: what callers received. */
 import {build, type Histogram} from 'hdr-histogram-js';
 import type {RefusalReason} from '../decisions/scheduler_types.js';
-import type {Scenario} from './play_schema.js';
+import type {Scenario} from './scenario_schema.js';
 import type {SimulatedRequest} from './traffic.js';
 
 /** Target for the first token; the users' aim is 95 in 100 within it. */
--- a/src/plays/traffic.ts
+++ b/src/plays/traffic.ts
@@ -6,7 +6,7 @@
   ScenarioAccount,
   ScenarioBatch,
   RequestSizes,
-} from './play_schema.js';
+} from './scenario_schema.js';
 import {createRandom, type Random} from './random.js';
 
 const MIN_PROMPT_TOKENS = 16;
--- a/src/tools/measure/deployments.ts
+++ b/src/tools/measure/deployments.ts
@@ -6,7 +6,7 @@
   scenarioSchema,
   type Scenario,
   type ScenarioEvent,
-} from '../../plays/play_schema.js';
+} from '../../plays/scenario_schema.js';
 import type {EngineParameters} from '../../plays/engine_parameters.js';
 
 const DURATION_MS = 40_000;
