--- a/src/cli/commands/serve.ts
+++ b/src/cli/commands/serve.ts
@@ -49,7 +49,7 @@
       metrics,
     }).catch((error: Error) => this.failStart(error));
     const signal = await awaitInterrupt();
-    log.info({signal}, 'instance drains');
+    log.info({signal}, 'instance is draining');
     void awaitInterrupt().then(() => process.exit(EXIT_START));
     await instance.stop();
     await platform.close();
--- a/src/common/shared_time.test.ts
+++ b/src/common/shared_time.test.ts
@@ -24,8 +24,8 @@
   });
 
   // A machine is suspended for 4 seconds that its monotonic clock does not
-  // count. By that clock, work accepted meanwhile on other machines is in the
-  // future.
+  // count. By that clock, work that other machines accepted during these
+  // seconds is in the future.
   it('catches up after a suspension with the next response', () => {
     const clock = createVirtualClock();
     const time = createSharedTime(clock);
--- a/src/decisions/latency_model.ts
+++ b/src/decisions/latency_model.ts
@@ -5,7 +5,7 @@
  *
  * Load pattern: long prompts among short ones. Without a prediction by length,
  * all requests count alike, and a short request is sent behind a long prompt
- * and waits for its whole prefill.
+ * and waits until the prefill of that prompt is complete.
  *
  * Fixed values would fit only one engine. The learned ones follow a change
  * within a few hundred answers (REGRESSION_DECAY). They start from plausible
--- a/src/decisions/rate_bucket.ts
+++ b/src/decisions/rate_bucket.ts
@@ -5,7 +5,7 @@
  * times at several times its rate. If the rate is divided among the instances,
  * an account with unevenly distributed requests has most of them refused
  * although it is within its rate. If it is not divided, every instance spends
- * the whole rate. So there is one bucket, and instances draw a token from it
+ * the full rate. So there is one bucket, and instances draw a token from it
  * for each request.
  *
  * Invariant: tokens + grants that may still be unspent <= burst. So in any
--- a/src/decisions/rate_constants.ts
+++ b/src/decisions/rate_constants.ts
@@ -3,7 +3,7 @@
 /**
  * Time after the request for a token in which it must be spent. It covers a
  * delayed token and a slow response. It is short because a token counts against
- * the burst for as long as nobody knows whether it was spent.
+ * the burst for as long as it is unknown whether it was spent.
  */
 export const GRANT_LIFETIME_MS = 600;
 
--- a/src/decisions/rate_share.test.ts
+++ b/src/decisions/rate_share.test.ts
@@ -64,7 +64,7 @@
   });
 
   it('stays within the agreement during a network partition', () => {
-    // Guards against each side granting the whole rate. Six of ten instances
+    // Guards against each side granting the full rate. Six of ten instances
     // see each other, four others decide alone; their shares add up to one.
     const owner = drawOften(createShareBucket(), {
       from: 0,
--- a/src/decisions/rate_share.ts
+++ b/src/decisions/rate_share.ts
@@ -12,7 +12,7 @@
  * - A new owner does not know what the previous one granted. It starts with
  *   START_BURST_SHARE of the burst, plus what the rate earned since it became
  *   the owner. So its rate continues where the previous owner's ended, and an
- *   account that was quiet for a while has its whole burst.
+ *   account that was quiet for a while has its full burst.
  * - An owner that does not see some of the known instances fills its bucket at
  *   the share of the rate that belongs to those it sees. An instance that is
  *   cut off from the owner has its own share. The shares of all sides add up to
--- a/src/decisions/store_answers.ts
+++ b/src/decisions/store_answers.ts
@@ -7,9 +7,10 @@
  * every request. An instance that retains them for long sends requests to
  * endpoints that have left.
  *
- * Registrations lapse only if the store answers nobody. So the time that counts
- * is when the store answered any instance, not when this instance noticed: it
- * may have been the only one without store access, and it notices seconds late.
+ * Registrations lapse only if the store answers no instance. So the time that
+ * counts is when the store answered any instance, not when this instance
+ * noticed: it may have been the only one without store access, and it notices
+ * seconds late.
  */
 
 /**
--- a/src/instance/bundles/bundle_peers.ts
+++ b/src/instance/bundles/bundle_peers.ts
@@ -20,9 +20,9 @@
  * instances check the store periodically.
  */
 export interface BundlePeers {
-  /** Tells an instance to take these bundles over. */
+  /** Asks an instance to take these bundles over. */
   sendOrphans(address: string, orphans: readonly OrphanNotice[]): void;
-  /** Tells an instance that the account has ended a bundle that it owns. */
+  /** Notifies an instance that the account has ended a bundle that it owns. */
   sendEnded(address: string, id: string): void;
 }
 
--- a/src/instance/bundles/bundles.ts
+++ b/src/instance/bundles/bundles.ts
@@ -1,7 +1,7 @@
 /**
  * Accepts bundles of items and reads their results. A bundle is accepted as a
  * unit, owned by one instance at a time, and readable from any instance. It is
- * stored before the caller is told that it was accepted.
+ * stored before its acceptance is confirmed to the caller.
  */
 import type {Clock} from '../../common/clock.js';
 import {waitFor} from '../../common/clock.js';
--- a/src/instance/configuration/operators_race.test.ts
+++ b/src/instance/configuration/operators_race.test.ts
@@ -67,8 +67,9 @@
 describe('concurrent operators with lost responses and refused calls', () => {
   it('get correct outcomes, and the log contains every change', async () => {
     // Guards against reporting a document as active that is not, a conflict
-    // with nobody, or the same version to two operators. Any call of any
-    // command may be refused or lose its response, in any interleaving.
+    // of an operator with its own change, or the same version to two operators.
+    // Any call of any command may be refused or lose its response, in any
+    // interleaving.
     await fc.assert(
       fc.asyncProperty(
         fc.array(operator, {minLength: 2, maxLength: 5}),
--- a/src/instance/dispatch/constants.ts
+++ b/src/instance/dispatch/constants.ts
@@ -81,6 +81,6 @@
 
 /**
  * How long a dispatcher that has just taken over waits for the other instances
- * to describe its pool. They respond within 3 ms, and requests wait meanwhile.
+ * to describe its pool. They respond within 3 ms, and requests wait until then.
  */
 export const GATHER_TIMEOUT_MS = 60;
--- a/src/instance/dispatch/fake_fleet.ts
+++ b/src/instance/dispatch/fake_fleet.ts
@@ -35,7 +35,7 @@
 
 /**
  * Creates instances at `addresses`, all with the same view. With `hasGather`
- * they tell a new dispatcher which slots they hold.
+ * they report to a new dispatcher which slots they hold.
  */
 export function createFakeFleet(
   addresses: readonly string[],
--- a/src/instance/dispatch/pool_directory.ts
+++ b/src/instance/dispatch/pool_directory.ts
@@ -35,8 +35,8 @@
 
 /**
  * Creates a directory of the pools of `services` over `members`. `isSkipped`
- * tells of dispatchers that announced their stop or did not respond, before the
- * member list shows it.
+ * returns true for dispatchers that announced their stop or did not respond,
+ * before the member list shows it.
  */
 export function createPoolDirectory(
   members: Members,
--- a/src/instance/dispatch/pool_dispatcher.ts
+++ b/src/instance/dispatch/pool_dispatcher.ts
@@ -40,7 +40,7 @@
   endpoint: string;
 }
 
-/** What the peers told a new dispatcher about its pool. */
+/** What the peers reported to a new dispatcher about its pool. */
 export interface GatheredPool {
   slots: readonly {holder: string; slots: readonly ReportedSlot[]}[];
   latency?: LatencySnapshot;
--- a/src/instance/dispatch/pool_table.ts
+++ b/src/instance/dispatch/pool_table.ts
@@ -40,7 +40,7 @@
   refresh(): void;
   /**
    * Closes all pools, which may be opened again later. Waiting requests are
-   * told to ask the next dispatcher, and running requests are no longer
+   * redirected to the next dispatcher, and running requests are no longer
    * tracked.
    */
   standDown(): void;
--- a/src/instance/dispatch/remote_dispatcher.ts
+++ b/src/instance/dispatch/remote_dispatcher.ts
@@ -184,7 +184,7 @@
           if (answer.kind !== 'waiting') return answer;
         } catch (error) {
           // The grant may be in transit. Without this release the slot would
-          // count as in use until the next reports show that nobody holds it.
+          // count as in use until the next reports show that it is not held.
           release(address, pool, request.id, CANCELLED);
           throw error;
         }
--- a/src/instance/dispatch/slot_acquirer.ts
+++ b/src/instance/dispatch/slot_acquirer.ts
@@ -111,8 +111,8 @@
       grant.releaseAtDispatcher({kind: 'cancelled', tokens: 0});
       if (endpoint) return NO_ENDPOINT;
       // The endpoint has just left, or this instance has not learned of it yet.
-      // The dispatcher may take some time to notice, so it must be told to
-      // choose another endpoint.
+      // The dispatcher may take some time to notice, so the request names this
+      // endpoint as one to avoid.
       scheduled.avoid = [...scheduled.avoid, grant.endpoint];
       return {kind: 'moved'};
     }
--- a/src/instance/dispatch/slot_reports.ts
+++ b/src/instance/dispatch/slot_reports.ts
@@ -1,7 +1,7 @@
 /**
  * Reports of held slots. From them a dispatcher that has just taken over learns
  * what runs on its endpoints, and a dispatcher whose grant was lost learns that
- * nobody holds the slot.
+ * no instance holds the slot.
  *
  * Without the reports, slots leak while instances disagree on which instance
  * dispatches: the end of a request is reported to the previous dispatcher, and
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -44,7 +44,7 @@
   peersAddress: string;
   /** Shuts down gracefully: running requests are completed. */
   stop(): Promise<void>;
-  /** Stops at once, as in a crash: hands nothing over and notifies nobody. */
+  /** Stops at once, as in a crash: hands nothing over and notifies no peer. */
   halt(): Promise<void>;
 }
 
--- a/src/instance/keys/confidence.ts
+++ b/src/instance/keys/confidence.ts
@@ -9,7 +9,7 @@
  * Therefore an instance asks one witness in every failure domain, its own
  * included. A witness that reads the table relays what it read. If every domain
  * answers and none of them reads the table, the table is unavailable to all, so
- * no withdrawal can commit and serving continues. If nobody answers, the
+ * no withdrawal can commit and serving continues. If no domain answers, the
  * instance is isolated and refuses. Anything between is doubt, and the service
  * document says what to do then. (After the isolation predicate and the witness
  * hosts of CUBRID's heartbeat.)
@@ -20,7 +20,7 @@
  * - `confirmed`: the table was read recently, by this instance or by a witness.
  * - `outage`: the table is unavailable in every failure domain.
  * - `doubt`: the table is unavailable here, and some failure domain is silent.
- * - `isolated`: nobody answers.
+ * - `isolated`: no failure domain answers.
  */
 export type Confidence = 'confirmed' | 'outage' | 'doubt' | 'isolated';
 
--- a/src/instance/keys/keys.test.ts
+++ b/src/instance/keys/keys.test.ts
@@ -241,8 +241,8 @@
   ]) {
     it(`follows the service document in doubt: ${doubt}`, async () => {
       // The store is unavailable to all instances that answer, and one failure
-      // domain is silent. It may still read a withdrawal that nobody else can
-      // see.
+      // domain is silent. It may still read a withdrawal that no other domain
+      // can see.
       const fleet = await createKeyedFleet(document);
       fleet.platform.faults.down = true;
       for (const instance of fleet.instances) {
@@ -285,8 +285,8 @@
   }
 
   it('never serves a withdrawn key after the time limit', async () => {
-    // Random cuts in any order, and a withdrawal that commits meanwhile: if at
-    // least one instance both reads the table and reaches others, no instance
+    // Random cuts in any order, and a withdrawal that commits during them: if
+    // at least one instance both reads the table and reaches others, no instance
     // serves the key after the time limit.
     const event = fc.record({
       instance: fc.integer({min: 0, max: TWO_PER_DOMAIN.length - 1}),
--- a/src/instance/limits/draw_token.ts
+++ b/src/instance/limits/draw_token.ts
@@ -14,9 +14,9 @@
 }
 
 /**
- * Builds the error for a refusal. An account within its rate must not be told
- * that it is over it, so a refusal because no instance can tell has its own
- * code.
+ * Builds the error for a refusal. An account within its rate must not get the
+ * error for exceeding it, so a refusal because no instance knows the account's
+ * usage has its own code.
  */
 function buildLimitRefusal({
   reason,
--- a/src/instance/limits/held_buckets.ts
+++ b/src/instance/limits/held_buckets.ts
@@ -27,7 +27,7 @@
    */
   views: HeldView[];
   recoveringUntil: number;
-  /** Whether the standby is being told that the reserve is released. */
+  /** Whether the standby is being notified that the reserve is released. */
   isReleasingReserve: boolean;
 }
 
--- a/src/instance/limits/own_view.ts
+++ b/src/instance/limits/own_view.ts
@@ -1,7 +1,7 @@
 /**
  * The view in which this instance is the holder. It is chosen, written once and
- * kept by renewals, and replaced when a standby is lost or more standbys are
- * available.
+ * maintained by renewals, and replaced when a standby is lost or more standbys
+ * are available.
  */
 import type {Clock} from '../../common/clock.js';
 import {rankByRendezvous} from '../../decisions/instance_ranking.js';
--- a/src/instance/members/entry_directory.ts
+++ b/src/instance/members/entry_directory.ts
@@ -121,8 +121,8 @@
       },
     ]);
     if (outcome.kind === 'committed') log.info(fields, 'instance registered');
-    // The row was replaced meanwhile: the next call of register reads its
-    // version.
+    // The row has changed since it was read: the next call of register reads
+    // its new version.
     else noteRow(self.name, undefined);
   }
 
--- a/src/instance/members/instance_lease.test.ts
+++ b/src/instance/members/instance_lease.test.ts
@@ -94,8 +94,8 @@
 
   it('ends at once when a successor binds its address', async () => {
     // An instance dies and is replaced on the same address within a second.
-    // Nobody has to wait until its lease expires, because only one process can
-    // listen on an address.
+    // No instance has to wait until its lease expires, because only one process
+    // can listen on an address.
     const {table} = createMemoryPlatform();
     const lease = createInstanceLease(table, 'run-a');
     await lease.renew(0);
--- a/src/instance/members/instance_lease.ts
+++ b/src/instance/members/instance_lease.ts
@@ -141,7 +141,7 @@
 
 /**
  * Ends the lease of the instance that had this address before. Having bound the
- * address proves that the earlier process is dead, so nobody needs to wait
+ * address proves that the earlier process is dead, so no instance needs to wait
  * until its lease expires. Returns its incarnation, or undefined if there was
  * none.
  */
