--- a/src/instance/batch/batch_access.ts
+++ b/src/instance/batch/batch_access.ts
@@ -29,8 +29,11 @@
 }
 
 /**
- * Draws the 1 token that a submission costs, regardless of its number of items;
- * docs/design/batch.md explains why. Throws RouterError.
+ * Draws the 1 token that a submission costs, regardless of its number of items.
+ * Items run only in capacity that online work leaves idle and yield it at once,
+ * so they take nothing of what the account's rate bounds. A token for each item
+ * would lock the account out of its own online use for hours: 290,000 items at
+ * 20/s take 4 hours. Throws RouterError.
  */
 export async function drawSubmission(
   account: string,
--- a/src/instance/limits/limits.ts
+++ b/src/instance/limits/limits.ts
@@ -82,10 +82,7 @@
   shut(): Promise<void>;
 }
 
-/**
- * Creates limits with one bucket for each account over the whole fleet. The
- * design is described in docs/design/limits.md.
- */
+/** Creates limits with one bucket for each account over the whole fleet. */
 export function createFleetLimits({
   clock,
   metrics,
--- a/src/stand_ins/platform/memory_platform.ts
+++ b/src/stand_ins/platform/memory_platform.ts
@@ -13,7 +13,7 @@
   type PlatformFaults,
 } from './platform_faults.js';
 
-export {isConditionMet as isMet} from '../../stores/table_store.js';
+export {isConditionMet} from '../../stores/table_store.js';
 export type {PlatformFaults} from './platform_faults.js';
 
 /** The in-memory platform with the controls for a test. */
